--- a/src/batch/dispatcher.cpp
+++ b/src/batch/dispatcher.cpp
@@ -8,41 +8,44 @@
 namespace madderdeck::batch {
 namespace {
 constexpr Duration kTick = 20ms;
-constexpr Duration kIdleTick = 200ms;  ///< While no engine is this node's and no item is here.
-constexpr Duration kActivityHolds = 2s;
+constexpr Duration kIdleTick = 200ms;    ///< Tick while this node owns no engine and holds no item.
+constexpr Duration kActivityHolds = 2s;  ///< A gateway's report of live calls counts for this long.
+/// No item is started on an engine for this long after its items yielded or it refused one.
 constexpr Duration kQuietAfterYield = 100ms;
 constexpr std::size_t kManagersAsked = 3;
-/// Few look after jobs there, and a dispatcher has many slots: it asks them all, so that the nearest deadlines go
-/// first.
+/// In a large fleet few nodes manage jobs and a dispatcher has many slots. It asks up to this many managers, in
+/// practice all, so that the items with the nearest deadlines go first.
 constexpr std::size_t kManagersAskedInLargeFleet = 16;
-/// Runs on an engine that has said nothing on any of its calls for so long go on elsewhere.
+/// Runs are moved away from an engine that has sent nothing on any of its calls for this long.
 constexpr Duration kEngineSilence = 1s;
 constexpr Duration kOwnershipInterval = 250ms;
 constexpr Duration kAskSoon = 20ms;
-constexpr Duration kAskBusy = 200ms;  ///< While some manager is known to have items.
-constexpr Duration kAskSeldom = 4s;   ///< While none is.
+constexpr Duration kAskBusy = 200ms;  ///< Longest interval while some manager is known to have items.
+constexpr Duration kAskSeldom = 4s;   ///< Longest interval while no manager is known to have items.
 constexpr unsigned kMaxFailures = 20;
-constexpr Duration kReportUseful = 400ms;
-constexpr Duration kLeastTimeToYield = 10ms;  ///< Messages and the engine's step, before any was observed.
-/// The same where calls are not told, so that no gateway can see for what a live call waits.
+constexpr Duration kReportUseful = 400ms;  ///< An engine's load report counts for this long.
+/// Lower bound of the time to yield, used until one was observed: messages and one step of the engine.
+constexpr Duration kLeastTimeToYield = 10ms;
+/// The same where calls are not reported, so that no gateway can observe why a live call waits.
 constexpr Duration kUnobservedTimeToYield = 50ms;
-/// Items kept ready beyond the free slots, as a part of the running ones, so that a slot that
-/// falls free need not wait for a question and its answer.
+/// One item in this many running ones is kept queued beyond the free slots, so that a slot that becomes free need not
+/// wait for a request to a manager and its answer.
 constexpr std::size_t kReadyPart = 4;
-constexpr Duration kAnswerUseful = 5s;
-/// Held items are confirmed this often; their managers wait for three of these (JobManager's lease).
+constexpr Duration kAnswerUseful = 5s;  ///< Answers to older requests for items are not used.
+/// Interval at which held items are confirmed. A manager's item lease lasts three intervals (kItemLease in
+/// job_manager.cpp).
 constexpr Duration kConfirmHeld = 1s;
-/// An item under which engines ended is not run for so long, then its manager hands it out for one more try.
+/// An item that engines terminated under is not run for this long; then its manager hands it out for one more attempt.
 constexpr Duration kWithheld = 30s;
-/// The next dispatcher is to know of the end before it gets the item: news of it takes 1 to 5 ms.
+/// The next dispatcher must know of the engine's termination before it gets the item; that message takes 1 to 5 ms.
 constexpr Duration kNewsTime = 10ms;
-constexpr Duration kRouteMissing = 5s;  ///< Longer than a configuration takes to be in force everywhere.
+constexpr Duration kRouteMissing = 5s;  ///< Longer than a configuration change takes to reach all nodes.
 
 std::string_view error_name(const Result<ledger::OptionalValue>& result) {
   return error_kind_name(error_of(result).kind);
 }
 
-/// Decodes an item that is an HTTP request; null when it is none.
+/// @return the decoded HTTP request of an item, or null if the item is none.
 std::shared_ptr<const routing::HttpItemCall> decode_http_item(const wire::WorkItemT& work) {
   auto item = wire::decode_record<wire::HttpItemT>(work.body);
   if (!item) {
@@ -100,7 +103,7 @@
 void Dispatcher::refresh_ownership() {
   const bool unchanged =
       owned_at_members_version_ == members_.version() && owned_at_registry_version_ == registry_.version();
-  // In a storm of membership changes the ranking would be made over and over.
+  // Limits how often the ranking is computed when the membership changes many times in a row.
   const bool too_soon = owned_at_.count() != 0 && environment_.now() - owned_at_ < kOwnershipInterval;
   if (unchanged || too_soon) {
     return;
@@ -110,7 +113,7 @@
   owned_at_registry_version_ = registry_.version();
   owned_.clear();
   if (registry_.backends().size() > routing::kMostBackendsBeforeFleet && !members_.knows_fleet()) {
-    owned_at_registry_version_ = 0;  // looked at again
+    owned_at_registry_version_ = 0;  // forces another refresh
     return;
   }
   if (!duties_.dispatches()) {
@@ -196,7 +199,8 @@
   const Timestamp now = environment_.now();
   double rate = engine.live.per_second(now);
   if (policies_.set.headroom_for_peaks && !owned_.empty()) {
-    // Over all engines of this node: at a single one a few calls that come together by chance look like a wave.
+    // The peak is measured over all engines of this node: at a single engine a few calls that coincide by chance would
+    // look like a burst.
     rate = std::max(rate, live_.peak_per_second(now) / static_cast<double>(owned_.size()));
   }
   return policies_.set.headroom->free_slots({rate, std::max(observed, least), backend.machine.slots});
@@ -263,7 +267,7 @@
     }
     free_slots += room;
   }
-  // Queued items that no owned engine can take go back when their lease lapses.
+  // Items that no owned engine can run are returned when their lease expires.
   std::erase_if(queue_, [this](Queued& work) {
     if (route_lost(work)) {
       work.item.partial = "the item's route is gone";
@@ -317,7 +321,7 @@
 std::vector<PeerAddress> Dispatcher::managers_to_ask() {
   std::vector<PeerAddress> candidates(busy_managers_.begin(), busy_managers_.end());
   if (candidates.empty()) {
-    // Nobody is known to have items; a notice may have been lost.
+    // No manager is known to have items, but a notice may have been lost.
     candidates = duties_.managers();
   }
   const std::size_t most = duties_.divided() ? kManagersAskedInLargeFleet : kManagersAsked;
@@ -374,7 +378,7 @@
   if (repeated > 0 && repeated == message.items.size()) {
     return;
   }
-  // Items that come too late to be started are given back; asking for them again at once would not end.
+  // Items whose lease expired before they arrived are returned. Asking for them again at once could loop forever.
   if (usable) {
     busy_managers_.insert(sender);
     ask_interval_ = Duration::zero();
@@ -441,7 +445,7 @@
 const routing::request_fingerprint& Dispatcher::fingerprint_of(Queued& work) const {
   if (!work.fingerprint) {
     const Result<routing::EngineCall> call = call_of(work);
-    // One that cannot be read is run by nobody.
+    // An item that cannot be parsed is never run, so that its fingerprint does not matter.
     work.fingerprint = succeeded(call) ? routing::fingerprint_of(value_of(call)) : routing::request_fingerprint();
   }
   return *work.fingerprint;
@@ -550,7 +554,7 @@
     item.partial.append(event_of_stream && item.partial_tokens > 0 ? "\n" : "").append(text);
     ++item.partial_tokens;
   } else if (offset > item.partial_tokens) {
-    // A token is missing; what came before it is kept and the rest asked for again.
+    // A token is missing: the ones before it are kept and the rest is requested again.
     counters_["batch_token_gaps_total"]++;
     client_.cancel(entry->second.call);
     on_failed(id, routing::CallFailure::broken);
@@ -633,7 +637,7 @@
   record.failed = failed;
   record.body = work.item.partial;
   record.item_id = work.http ? work.http->id : "";
-  record.attempt = environment_.random();  // tells apart results of two dispatchers
+  record.attempt = environment_.random();  // distinguishes results of two dispatchers
   const wire::Bytes encoded = wire::encode_record(record);
   const bool once = guards_.write_results_once;
   const auto first_stands = [encoded, once](const ledger::OptionalValue& current) -> ledger::OptionalValue {
@@ -683,7 +687,7 @@
   }
   const PeerAddress manager = manager_of(work);
   if (manager != work.manager) {
-    // While a manager leaves, nodes differ on who follows it.
+    // While a manager is leaving, nodes may disagree on its successor.
     send_message(environment_, work.manager, message);
   }
   send_message(environment_, manager, std::move(message));
@@ -768,7 +772,7 @@
   Engine& engine = engines_[id];
   Activity& activity = engine.gateways[message.gateway];
   if (!activity.latest.take(message.number)) {
-    return;  // overtaken on its way
+    return;  // a later message arrived first
   }
   if (message.in_flight > activity.in_flight) {
     const std::uint32_t begun = message.in_flight - activity.in_flight;
@@ -813,7 +817,7 @@
     const auto run = entry++;
     const routing::Backend* backend = registry_.find(run->second.engine);
     const bool silent = backend != nullptr && backend->open_calls > 0 && now - backend->quiet_since > kEngineSilence;
-    // The run itself may have just begun to wait for its first event.
+    // A run that has just started may still be waiting for its first event.
     if (!silent || now - run->second.started_at < kEngineSilence) {
       continue;
     }
@@ -823,7 +827,7 @@
   }
 }
 
-/// Live calls are told to an engine's present owner alone: what another node runs there would never make room for them.
+/// Live calls are reported only to the current owner of an engine, so runs of another node would never yield to them.
 void Dispatcher::leave_lost_engines() {
   refresh_ownership();
   if (left_at_ownership_ == owned_at_) {
--- a/src/batch/dispatcher.hpp
+++ b/src/batch/dispatcher.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Batch items onto engines: fills the slack that live requests leave, and yields.
+/// @file Starts batch items in the engine slots that live requests leave free, and stops them when live requests need
+/// the slots.
 
 #include <deque>
 #include <functional>
@@ -28,26 +29,26 @@
 
 /// Rules of dispatching; always on in the daemon.
 struct DispatchGuards {
-  bool respect_leases = true;      ///< An item whose lease ran out is not started.
-  bool write_results_once = true;  ///< The first result of an item stands.
+  bool respect_leases = true;      ///< An item whose lease has expired is not started.
+  bool write_results_once = true;  ///< A later result does not replace the first one of an item.
   bool keep_headroom = true;       ///< Batch leaves slots free for live requests.
-  bool yield_to_online = true;     ///< Batch streams stop when live requests need their slots.
+  bool yield_to_online = true;     ///< Batch items are stopped when live requests need their slots.
   bool stop_cancelled = true;      ///< Running items of a cancelled job are stopped.
 };
 
-/// Told by the simulation's oracle what is started.
+/// Called when an item is started; the simulation checks the starts with it.
 using StartHook = std::function<void(const JobId&, std::uint32_t index)>;
-/// This node's batch items on an engine are more or fewer than before.
+/// Called when the number of this node's batch items running on an engine has changed.
 using BatchActivityHook = std::function<void(const BackendId&)>;
 
-/// What a dispatcher decides by.
+/// Policies and estimates by which a dispatcher chooses and orders items.
 struct DispatchPolicies {
   policy::policy_set set;
   policy::work_estimate* estimate = nullptr;  ///< Shared with the node's job manager; outlives it.
-  std::function<Duration()> time_to_yield;    ///< As the gateways observe it; may be empty.
+  std::function<Duration()> time_to_yield;    ///< Observed by the gateways; may be empty.
 };
 
-/// Sends batch items to the engines this node owns. Single threaded.
+/// Sends batch items to the engines that this node owns. Single threaded.
 class Dispatcher {
  public:
   Dispatcher(Environment& environment, Counters& counters, ledger::Client& ledger, membership::Membership& members,
@@ -58,17 +59,19 @@
   void handle(const PeerAddress& sender, const wire::GiveItemsT& message);
   void handle(const wire::OnlineActivityT& message);
   void handle(const wire::JobNoticeT& message);
-  /// From now on items under which engines end are not run again. @p guard outlives this.
+  /// Sets the guard that keeps an item from being run again after engines terminated while running it.
+  /// @p guard must outlive this object.
   void use_repeat_guard(routing::repeat_guard& guard) { repeats_ = &guard; }
-  /// @return whether batch work on @p engine is this node's.
+  /// @return whether this node dispatches the batch items of @p engine.
   bool owns(const BackendId& engine);
-  /// @return the engines whose batch work is this node's.
+  /// @return the engines whose batch items this node dispatches.
   const std::set<BackendId>& owned();
-  /// @return those of owned() with calls that are known here, and of the others one in kIdleRounds, each in its turn.
-  /// @param round counts the looks.
+  /// @return the engines to poll for their load in this round: those of owned() that are known to have calls, and one
+  /// in kIdleRounds of the others, each in its turn.
+  /// @param round number of the polling round.
   std::vector<BackendId> worth_asking(std::uint64_t round);
   static constexpr std::uint64_t kIdleRounds = 10;
-  /// This node is leaving: no new items; running ones are given back.
+  /// Called when this node is leaving: takes no new items and returns the running ones to their managers.
   void drain();
   std::size_t active() const { return running_.size() + settling_.size(); }
 
@@ -82,10 +85,10 @@
     PeerAddress manager;
     Timestamp start_before{};
     unsigned failures = 0;
-    std::shared_ptr<const routing::HttpItemCall> http;        ///< Set where the item is an HTTP request.
-    std::optional<routing::request_fingerprint> fingerprint;  ///< Once it was needed.
+    std::shared_ptr<const routing::HttpItemCall> http;        ///< Null unless the item is an HTTP request.
+    std::optional<routing::request_fingerprint> fingerprint;  ///< Computed on first use.
   };
-  /// What of an item its manager has to know: that it is here.
+  /// Identifies an item that this node holds, for the message that confirms it to its manager.
   struct Held {
     std::string job;
     std::uint32_t index = 0;
@@ -98,11 +101,11 @@
   struct Running {
     Queued work;
     BackendId engine;
-    std::uint64_t life = 0;  ///< Of the engine, when the run went there.
+    std::uint64_t life = 0;  ///< Lifetime number of the engine when the run was sent to it.
     routing::CallId call = 0;
-    std::uint64_t started = 0;  ///< Order of starts; the youngest yields first.
+    std::uint64_t started = 0;  ///< Sequence number of the start; the latest start yields first.
     Timestamp started_at{};
-    std::uint32_t first_event = 0;  ///< Events that earlier runs have made.
+    std::uint32_t first_event = 0;  ///< Number of events that earlier runs produced.
     std::optional<Timestamp> first_event_at;
   };
   struct Activity {
@@ -114,7 +117,7 @@
     std::map<std::string, Activity> gateways;
     std::size_t running = 0;
     Timestamp resume_after{};
-    policy::rate_meter live;  ///< Live calls that began.
+    policy::rate_meter live;  ///< Rate at which live calls start.
   };
 
   void tick();
@@ -130,33 +133,37 @@
   void yield_on(const BackendId& id);
   policy::item_outlook outlook_of(const Queued& work) const;
   void sort_queue();
-  /// Stops @p run, since @p live live calls need the engine's slots, and puts it back among the waiting ones.
-  /// Puts back what runs on engines that have said nothing for long: the items go on elsewhere from their last event.
+  /// Requeues the runs on engines that have sent nothing for kEngineSilence; the items resume on another engine from
+  /// their last event.
   void leave_silent_engines();
-  /// Puts back what runs on engines that another dispatcher looks after by now.
+  /// Requeues the runs on engines that another dispatcher owns by now.
   void leave_lost_engines();
+  /// Stops @p run and requeues its item.
+  /// @param live number of live calls that need the engine's slots; 0 where the run is stopped for another reason.
   void put_back(std::map<RunId, Running>::iterator run, std::uint32_t live);
   void set_running(const BackendId& id, std::ptrdiff_t change);
-  /// @return the route of an HTTP item under the present configuration, or null.
+  /// @return the route of an HTTP item under the current configuration, or null.
   const forwarding::Route* route_of(const Queued& work) const;
   /// @return whether @p work may run on @p backend.
   bool fits(const Queued& work, const routing::Backend& backend) const;
-  /// Fails items whose route has been gone for long.
+  /// @return whether the route of @p work has been missing from the configuration for longer than kRouteMissing.
   bool route_lost(const Queued& work);
   void start_item(Queued work, routing::Backend& backend);
-  /// @return the call that runs @p work, or why there is none.
+  /// @return the engine call that runs @p work, or the error in the item.
   Result<routing::EngineCall> call_of(const Queued& work) const;
-  /// @return whether an engine is known to have ended under @p work.
+  /// @return whether an engine is known to have terminated while running @p work.
   bool suspected(Queued& work) const;
-  /// @return whether @p work is suspected and so is an item that runs on @p engine. Suspects run apart: of two that
-  ///         always run together, nobody could tell which one ends the engine.
+  /// @return whether both @p work and an item that runs on @p engine are suspected of terminating engines. Suspected
+  ///         items run on separate engines, so that a termination can be attributed to one of them.
   bool meets_suspect(Queued& work, const BackendId& engine);
   const routing::request_fingerprint& fingerprint_of(Queued& work) const;
+  /// @return whether the repeat guard forbids running @p work at present.
   bool held_back(Queued& work);
-  /// An item that is not to be run now waits for its retrial. When that has failed, too, the item fails; where its job
-  /// says until when it is to be kept, it stays unrun until then.
+  /// Keeps an item that must not be run at present until its manager may hand it out for one more attempt. Once that
+  /// attempt has failed, too, the item fails; if its job has a time at which unfinished items are failed, the item
+  /// stays unrun until then.
   void withhold(Queued work);
-  /// Gives @p work back once it is known whether the engine ended under it.
+  /// Returns the item of @p run to its manager once it is known whether the engine terminated while running it.
   void report_break(Running run);
   void on_token(RunId id, std::uint32_t offset, std::string_view text);
   void on_finished(RunId id, std::uint32_t total);
@@ -165,13 +172,13 @@
   Running take_running(RunId id);
   void write_result(Queued work, bool failed);
   void report(const Queued& work, bool completed);
-  /// Tells the manager of a running item that it is in good hands.
+  /// Tells the manager of a running item that this node still holds it.
   void claim(const Queued& work);
-  /// Tells managers what is held of their jobs; what they do not hear of for long they hand out again.
+  /// Tells managers which items of their jobs this node holds; they hand out again what is not confirmed for long.
   void confirm_held();
-  /// Gives back what has been withheld for long enough.
+  /// Returns to their managers the items whose withholding time is over.
   void return_withheld();
-  /// Items whose manager is another node by now are made known to it.
+  /// Reports items whose job has moved to another manager: running ones as held, queued ones as returned.
   void follow_managers();
   wire::ItemSettledT settlement_of(const Queued& work) const;
   PeerAddress manager_of(const Queued& work) const;
@@ -191,29 +198,29 @@
   const DispatchGuards guards_;
   std::deque<Queued> queue_;
   std::map<RunId, Running> running_;
-  std::map<RunId, Held> settling_;  ///< Results that are being written, and breaks whose cause is looked for.
+  std::map<RunId, Held> settling_;  ///< Results being written, and broken runs whose cause is being determined.
   std::vector<Withheld> withheld_;
   Timestamp confirmed_at_{};
   std::map<BackendId, Engine> engines_;
-  policy::rate_meter live_;  ///< Live calls that began at any engine of this node.
+  policy::rate_meter live_;  ///< Rate at which live calls start over all engines of this node.
   routing::repeat_guard* repeats_ = nullptr;
-  /// A request for items, and which of them its answers have brought: they may be repeated on the way.
+  /// A request for items, and the items that its answers have brought, since the network may duplicate an answer.
   struct Request {
-    Timestamp asked_at{};  ///< A lease counts from here, not from the answer, which may have been under way for long.
+    Timestamp asked_at{};  ///< Leases run from here, since an answer may have been in transit for long.
     std::set<std::tuple<PeerAddress, std::string, std::uint32_t>> taken;  ///< Manager, job and index.
   };
-  std::map<std::uint64_t, Request> requests_;  ///< Recent ones.
+  std::map<std::uint64_t, Request> requests_;  ///< Those of the last kAnswerUseful.
   std::uint64_t next_request_ = 0;
-  /// Managers that said they have items. Asked first; forgotten when they have none.
+  /// Managers that announced items. They are asked first, and removed once they answer without items.
   std::set<PeerAddress> busy_managers_;
   Timestamp ask_after_{};
-  Duration ask_interval_{};  ///< Doubles while nobody has items.
+  Duration ask_interval_{};  ///< Doubles while no manager has items.
   std::set<BackendId> owned_;
   Timestamp owned_at_{};
-  Timestamp left_at_ownership_{};  ///< The value of owned_at_ when runs on other engines were last put back.
+  Timestamp left_at_ownership_{};  ///< The value of owned_at_ when runs on engines of other owners were last requeued.
   std::uint64_t owned_at_members_version_ = 0;
   std::uint64_t owned_at_registry_version_ = 0;
-  std::map<std::string, Timestamp> route_missing_since_;  ///< By job.
+  std::map<std::string, Timestamp> route_missing_since_;  ///< Keyed by job.
   RunId next_run_ = 0;
   std::uint64_t followed_members_version_ = 0;
   bool draining_ = false;
--- a/src/batch/item.hpp
+++ b/src/batch/item.hpp
@@ -16,7 +16,7 @@
   std::optional<std::uint32_t> max_tokens;
 };
 
-/// @return the item, or ErrorKind::invalid_argument with the field at fault.
+/// @return the item, or ErrorKind::invalid_argument naming the invalid field.
 Result<Item> parse_item(std::string_view line);
 
 }  // namespace madderdeck::batch
--- a/src/batch/job_manager.cpp
+++ b/src/batch/job_manager.cpp
@@ -7,25 +7,26 @@
 namespace {
 constexpr Duration kTick = 250ms;
 constexpr Duration kDiscoveryInterval = 3s;
-/// A reading of the job's record allows handing out work for this long after it began.
+/// After a read of the job's record, items may be handed out for this long, counted from the start of the read.
 constexpr Duration kJobLease = 2s;
-/// An item given with less time to start than this would only come back.
+/// Items are not handed out with less time to start than this; the dispatcher would only return them.
 constexpr Duration kLeastLeaseGiven = 100ms;
 constexpr Duration kConfirmInterval = 700ms;
-/// Dispatchers confirm what they hold every second; what is not confirmed for so long is handed out again. With 30 s
-/// and no word in between an item whose message was lost was left lying until the end of its job's time.
+/// Dispatchers confirm every second which items they hold; an item that is not confirmed for this long is handed out
+/// again. With a lease of 30 s and no confirmations, an item whose message was lost stayed unrun until its job's time
+/// was over.
 constexpr Duration kItemLease = 3s;
-/// A manager with items that nobody has taken says so to a few schedulers this often.
+/// Interval at which a manager with pending items announces them to kAnnounceFanout schedulers.
 constexpr Duration kAnnounceInterval = 1s;
 constexpr std::size_t kAnnounceFanout = 8;
 constexpr std::uint32_t kScanPage = 2000;
 constexpr std::size_t kChunksHeld = 64;
-/// A job older than this has likely been looked after by another node.
+/// A job older than this was probably managed by another node before.
 constexpr Duration kFresh = 1500ms;
-/// As long as the nodes that run its items take to learn whom to tell.
+/// Time that the dispatchers of a job's items take to learn which node manages the job now.
 constexpr Duration kTakeOver = 250ms;
-constexpr Duration kEarlyUseful = 5s;
-constexpr std::size_t kMostEarly = 2000;  ///< Messages of all jobs together.
+constexpr Duration kEarlyUseful = 5s;     ///< Older messages about jobs that are not open are dropped.
+constexpr std::size_t kMostEarly = 2000;  ///< Over all jobs.
 }  // namespace
 
 JobManager::JobManager(Environment& environment, Counters& counters, ledger::Client& ledger,
@@ -45,7 +46,7 @@
 void JobManager::start() { tick(); }
 
 bool JobManager::owns(const std::string& job) const {
-  // Ranking the schedulers again for each job at each tick would cost too much.
+  // The result is cached: ranking the schedulers for each job at each tick would cost too much.
   if (members_version_ != members_.version()) {
     members_version_ = members_.version();
     owned_.clear();
@@ -74,7 +75,7 @@
   });
   for (auto& [id, job] : jobs_) {
     expire_leases(job);
-    // A job whose first reading failed has no items yet and is asked for again, too.
+    // A job whose first read failed has no items yet; its record is read again, too.
     const bool readable = job.loaded || job.items.empty();
     if (readable && environment_.now() - job.confirmed_at > kConfirmInterval) {
       confirm(id);
@@ -107,7 +108,7 @@
     return entry.second.loaded && entry.second.settled + entry.second.leases.size() < entry.second.items.size();
   });
   std::vector<PeerAddress> dispatchers = duties_.dispatchers();
-  // In a large fleet few dispatch, and each may have free slots.
+  // In a large fleet there are few dispatchers, and each may have free slots.
   const std::size_t fanout = duties_.divided() ? dispatchers.size() : kAnnounceFanout;
   for (std::size_t told = 0; pending && told < fanout && !dispatchers.empty(); ++told) {
     const std::size_t position = environment_.random() % dispatchers.size();
@@ -119,8 +120,8 @@
 }
 
 std::uint32_t JobManager::next_watched_group(std::uint32_t from) const {
-  // One scheduler looks through a group for all: everybody looking would cost the ledger
-  // nodes a scan for each node and group.
+  // One scheduler scans a group on behalf of all: if every node did, the ledger nodes would serve one scan for each
+  // node and group.
   const auto groups = static_cast<std::uint32_t>(ledger_.group_map().groups.size());
   while (from < groups && !owns("group-" + std::to_string(from))) {
     ++from;
@@ -189,7 +190,7 @@
   Job& job = entry->second;
   job.confirming = false;
   if (!succeeded(result) || !value_of(result)) {
-    return;  // asked again at the next tick
+    return;  // read again at the next tick
   }
   const auto record = wire::decode_record<wire::JobRecordT>(*value_of(result));
   if (!record || record->state != wire::JobState::Accepted) {
@@ -281,7 +282,7 @@
     }
   }
   counters_["batch_items_handed_out_total"] += static_cast<CounterValue>(reply.items.size());
-  // An empty answer tells the dispatcher to look elsewhere, unless items are about to be read.
+  // An empty answer makes the dispatcher ask other managers, so none is sent while items are still being read.
   if (!reply.items.empty() || order.empty()) {
     send_message(environment_, sender, std::move(reply));
   }
@@ -335,7 +336,7 @@
     item->deadline_ms = job.record.deadline_ms;
     item->give_up_at_ms = job.record.give_up_at_ms;
     item->tokens = index < job.record.item_tokens.size() ? job.record.item_tokens[index] : 0;
-    // How long the dispatcher may start it: what is left of the job's lease.
+    // The dispatcher may start the item for as long as the job's lease still lasts.
     const Duration left = job.confirmed_at + kJobLease - environment_.now();
     item->lease_ms = guards_.lease_jobs ? static_cast<std::uint32_t>(left / 1ms) : UINT32_MAX;
     job.items[index] = ItemState::leased;
@@ -400,8 +401,8 @@
   ledger_.scan(chunk_key(id, job.record.submission, number), "", 1, lifetime_.guard(take));
 }
 
-/// A dispatcher that died, or whose process is another one by now, has lost its items. One that
-/// this node never knew is given the whole lease.
+/// A dispatcher that failed or restarted has lost its items. A dispatcher that was unknown to this node when the lease
+/// began keeps the lease until it expires.
 bool JobManager::holder_lives(const Lease& lease) const {
   if (lease.incarnation == 0) {
     return true;
@@ -424,7 +425,7 @@
   }
 }
 
-/// What is pending here is likely to have been given by the job's manager before this one.
+/// An item that is pending on this node but held by a dispatcher was probably handed out by the job's previous manager.
 void JobManager::renew_leases(Job& job, const PeerAddress& holder, const std::vector<std::uint32_t>& items) {
   for (const std::uint32_t index : items) {
     if (index >= job.items.size()) {
@@ -462,7 +463,7 @@
     lease = job.leases.erase(lease);
   }
   if (word_lost && job.loaded) {
-    // The message that was lost may have been that the item is done: what is written is read before it is run again.
+    // The lost message may have reported that the item is done, so the results are read before it is handed out again.
     job.loaded = false;
     load_results(JobId(job.record.id), "");
   }
@@ -549,7 +550,7 @@
 void JobManager::learn_stretch(Job& job, std::uint32_t index) {
   const auto node = job.first_handed_out.extract(index);
   const bool late = job.record.deadline_ms != 0 && environment_.unix_milliseconds() > job.record.deadline_ms;
-  // One that is late may have waited for its turn among the late ones.
+  // A late item is ignored, since it may have waited for the late items to be handed out.
   if (node.empty() || late || index >= job.record.item_tokens.size()) {
     return;
   }
@@ -685,7 +686,7 @@
   job.ordering = false;
   if (!succeeded(result) || !value_of(result)) {
     counters_["batch_order_write_failures_total"]++;
-    return;  // tried again at the next tick
+    return;  // retried at the next tick
   }
   const auto record = wire::decode_record<wire::OrderRecordT>(*value_of(result));
   if (!record) {
--- a/src/batch/job_manager.hpp
+++ b/src/batch/job_manager.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Jobs that this node hands out item by item. Any number of nodes may believe that
-/// they manage a job: results are written once, so that only work is doubled, never effect.
+/// @file Manages jobs and hands out their items to dispatchers. Several nodes may believe that they manage the same
+/// job: each result is written only once, so that an item may run twice but never has two results.
 
 #include <functional>
 #include <map>
@@ -20,10 +20,10 @@
 
 /// Rules of handing out work; always on in the daemon.
 struct ManagerGuards {
-  bool lease_jobs = true;        ///< Items are handed out only under a fresh reading of the job's record.
-  bool expire_items = true;      ///< Items that nobody says they hold are handed out again.
-  bool append_positions = true;  ///< New results come after those that are listed.
-  bool merge_positions = true;   ///< What other managers have listed stays.
+  bool lease_jobs = true;        ///< Items are handed out only after a recent read of the job's record.
+  bool expire_items = true;      ///< Items that no dispatcher confirms to hold are handed out again.
+  bool append_positions = true;  ///< New results are listed after those that are already listed.
+  bool merge_positions = true;   ///< Results that other managers have listed stay listed.
 };
 
 /// Progress of a job that this node manages.
@@ -34,7 +34,8 @@
   std::uint32_t leased = 0;
 };
 
-/// Single threaded.
+/// Leases the items of the jobs that rank this node first to dispatchers, lists results and completes the jobs. Single
+/// threaded.
 class JobManager {
  public:
   JobManager(Environment& environment, Counters& counters, ledger::Client& ledger, membership::Membership& members,
@@ -46,22 +47,22 @@
   void handle(const PeerAddress& sender, const wire::TakeItemsT& message);
   void handle(const PeerAddress& sender, const wire::ItemSettledT& message);
   void handle(const PeerAddress& sender, const wire::ItemsHeldT& message);
-  /// This node is leaving: what items have made goes to the nodes that look after their jobs from now on.
+  /// Called when this node is leaving: sends the progress of unfinished items to the new managers of their jobs.
   void drain();
   std::vector<JobProgress> progress() const;
-  /// @return what is still to be done of the jobs managed here whose items state their tokens.
+  /// @return the unsettled tokens of each job managed here whose items state their tokens.
   std::vector<wire::QueuedJobT> queued_jobs() const;
-  /// @return jobs that have ended here since the last call.
+  /// @return the jobs that have ended on this node since the last call.
   std::vector<wire::QueuedJobT> take_closed();
 
  private:
-  /// An item given to a dispatcher.
+  /// The lease of an item that a dispatcher holds.
   struct Lease {
     Timestamp until{};
     PeerAddress holder;
-    std::uint64_t incarnation = 0;  ///< Of the holder's process.
+    std::uint64_t incarnation = 0;  ///< Incarnation of the holder's process; 0 if the holder is unknown.
   };
-  /// What a run that ended early has made.
+  /// Output of runs that ended before the item was done.
   struct Progress {
     std::string partial;
     std::uint32_t tokens = 0;
@@ -70,40 +71,41 @@
   enum class ItemState : std::uint8_t { pending, leased, settled };
   struct Job {
     wire::JobRecordT record;
-    Timestamp confirmed_at{};  ///< Start of the last reading that showed the job accepted.
+    Timestamp confirmed_at{};  ///< Start of the last read that found the job in state Accepted.
     bool confirming = false;
-    bool loaded = false;  ///< Earlier results have been read.
+    bool loaded = false;  ///< The keys of the existing results have been read.
     bool completing = false;
-    Timestamp hand_out_after{};  ///< Until then, those who run items of a job taken over from another node say so.
+    Timestamp hand_out_after{};  ///< Until then, dispatchers report which items they run of a job that was taken over.
     std::vector<ItemState> items;
     std::uint32_t settled = 0;
-    std::uint64_t waiting_tokens = 0;  ///< Of the items that are not settled.
-    std::uint32_t cursor = 0;          ///< No pending item lies before it.
+    std::uint64_t waiting_tokens = 0;  ///< Sum over the items that are not settled.
+    std::uint32_t cursor = 0;          ///< No pending item has a lower index.
     std::map<std::uint32_t, Lease> leases;
-    std::map<std::uint32_t, Timestamp> first_handed_out;  ///< Of items that are not settled.
-    std::map<std::uint32_t, Progress> unfinished;         ///< What earlier runs of given-back items left.
+    std::map<std::uint32_t, Timestamp> first_handed_out;  ///< Keyed by item; only items that are not settled.
+    std::map<std::uint32_t, Progress> unfinished;         ///< Progress of items that dispatchers returned unfinished.
     std::map<std::uint32_t, wire::ChunkRecordT> chunks;
     std::set<std::uint32_t> loading_chunks;
-    std::set<std::uint32_t> listed;            ///< Items known to stand in the order records.
-    std::vector<std::uint32_t> order_pending;  ///< Settled items that are to be listed.
+    std::set<std::uint32_t> listed;            ///< Items known to be in the order records.
+    std::vector<std::uint32_t> order_pending;  ///< Settled items that are not in the order records yet.
     std::uint32_t order_segment = 0;
     bool ordering = false;
-    std::set<std::uint32_t> giving_up;
-    /// @return whether results are listed in a lasting order.
+    std::set<std::uint32_t> giving_up;  ///< Items whose failure is being written, since their time is over.
+    /// @return whether results are listed in order records, so that their positions never change.
     bool ordered() const { return !record.host.empty(); }
   };
 
   bool owns(const std::string& job) const;
   /// @return the scheduler that ranks first for @p name.
   const wire::MemberT* best_ranked(const std::string& name) const;
+  /// Sends the progress of the job's items to the node that manages the job now.
   void hand_over(const Job& job);
-  /// The job needs nothing more.
+  /// Removes a job that is completed or cancelled.
   void finish(std::map<JobId, Job>::iterator job);
   static wire::QueuedJobT queued_job(const Job& job);
   void apply(Job& job, const PeerAddress& sender, const wire::ItemSettledT& message);
-  /// Applies what came about @p id before its job was open here.
+  /// Applies the messages about @p id that arrived before the job was open on this node.
   void apply_early(const JobId& id);
-  /// @return the first group from @p from on that this node looks through; past the last if none.
+  /// @return the first ledger group from @p from on that this node scans for jobs; past the last group if none.
   std::uint32_t next_watched_group(std::uint32_t from) const;
   void tell_owner(const std::string& job);
   void tick();
@@ -114,11 +116,11 @@
   void load_results(const JobId& job, const std::string& after);
   void confirm(const JobId& job);
   void renew_leases(Job& job, const PeerAddress& holder, const std::vector<std::uint32_t>& items);
-  /// @return the lease that @p holder has from now on.
+  /// @return a new lease for @p holder, starting now.
   Lease lease_of(const PeerAddress& holder) const;
   void expire_leases(Job& job);
   bool holder_lives(const Lease& lease) const;
-  /// What is handed out in one pass over the jobs.
+  /// Which items are handed out in one pass over the jobs: all, those that can meet their deadline, or the others.
   enum class Pass : std::uint8_t { any, in_time, late };
   void hand_out(Job& job, const PeerAddress& to, std::uint32_t capacity, Pass pass, wire::GiveItemsT& reply);
   bool belongs_to(Pass pass, const Job& job, std::uint32_t index) const;
@@ -131,7 +133,7 @@
   /// Lists settled items in the job's order records.
   void append_order(const JobId& id);
   void on_order_written(const JobId& id, const Result<ledger::OptionalValue>& result);
-  /// Fails what is unfinished when the time for it is over.
+  /// Writes failed results for unfinished items once the job's give-up time has passed.
   void give_up_late_items(const JobId& id);
 
   Environment& environment_;
@@ -144,7 +146,7 @@
   policy::work_estimate& estimate_;
   const ManagerGuards guards_;
   std::map<JobId, Job> jobs_;
-  /// Told about a job that is not open here yet.
+  /// A message about a job that is not open on this node yet.
   struct Early {
     Timestamp at{};
     PeerAddress sender;
@@ -152,11 +154,11 @@
   };
   std::map<JobId, std::vector<Early>> early_;
   std::vector<wire::QueuedJobT> closed_;
-  std::set<std::string> finished_;  ///< Jobs known to need nothing more.
+  std::set<std::string> finished_;  ///< Jobs known to be completed or cancelled.
   bool discovering_ = false;
   Timestamp last_discovery_{};
   Timestamp last_announcement_{};
-  /// Ownership of jobs as of members_version_.
+  /// Ownership of jobs, valid for members_version_.
   mutable std::map<std::string, bool> owned_;
   mutable std::uint64_t members_version_ = 0;
   Lifetime lifetime_;
--- a/src/batch/queue_limiter.cpp
+++ b/src/batch/queue_limiter.cpp
@@ -9,27 +9,31 @@
 namespace {
 
 constexpr Duration kTick = 250ms;
-constexpr Duration kRefresh = 1s;
-/// In large fleets all is told less often; much more often still than a job is forgotten.
+constexpr Duration kRefresh = 1s;  ///< Least interval between two reports of all jobs, also of unchanged ones.
+/// In large fleets all jobs are reported less often, in proportion to the number of peers, but still much more often
+/// than kForget.
 constexpr Duration kRefreshOfOnePeer = 40ms;
 constexpr Duration kReportOfOnePeer = 8ms;
-/// Below this part of the least limit nobody needs news soon.
+/// A route is near the limit when the waiting tokens exceed the lowest limit divided by this; only then are changes
+/// reported soon.
 constexpr std::uint64_t kNearPart = 4;
-/// A longer pause between ticks: this node was frozen and has missed what the others told.
+/// A longer pause between ticks means that this process was frozen and has missed reports of other nodes.
 constexpr Duration kFrozen = 1s;
-/// A job that nobody tells of for so long is gone; longer than a manager's work takes to move to another node.
+/// A job that no node has reported for this long is removed from the view. This is longer than a job takes to move to
+/// another manager.
 constexpr Duration kForget = 10s;
-/// Longer than a message takes; shorter than it takes a caller to send a withdrawn job again.
+/// Reports of a closed job are ignored for this long: longer than a message takes, shorter than the time in which a
+/// caller submits a withdrawn job again.
 constexpr Duration kClosedCounts = 250ms;
 constexpr Duration kKeeperAnswers = 300ms;
 constexpr Duration kLeastComeback = 300ms;
 constexpr Duration kMostComeback = 4s;
 constexpr std::uint32_t kScanPage = 500;
-/// Up to this part of its limit a route is filled without asking.
+/// Up to its limit divided by this, a route is filled without asking the keeper.
 constexpr std::uint64_t kUnaskedPart = 2;
-/// Longer than a message takes.
+/// Other nodes have received a report after this time; longer than a message takes.
 constexpr Duration kNewsTravel = 200ms;
-/// A node that has just started reads the open jobs within it.
+/// Longest wait of an admission request for a complete view; a node that has just started reads the open jobs in less.
 constexpr Duration kViewWait = 150ms;
 constexpr double kFreedSmoothing = 0.2;
 
@@ -88,7 +92,7 @@
   }
   const auto take_page = [this, group](const Result<ledger::ScanPage>& result) {
     if (!succeeded(result)) {
-      reading_ = false;  // begun again at the next tick
+      reading_ = false;  // restarted at the next tick
       return;
     }
     const ledger::ScanPage& page = value_of(result);
@@ -125,7 +129,7 @@
   }
   const auto closed = closed_at_.find(id);
   if (closed != closed_at_.end() && environment_.now() - closed->second < kClosedCounts) {
-    return;  // sent before the job was closed
+    return;  // this report was sent before the job was closed
   }
   jobs[id] = Entry{job.tokens, environment_.now(), estimated};
 }
@@ -220,7 +224,7 @@
 
 Duration queue_limiter::time_until_free(const std::string& route, std::uint64_t tokens) const {
   const auto freed = freed_per_second_.find(route);
-  // This node sees what its own jobs free; the others free as much each.
+  // This node sees only what its own jobs free; assumes that every other scheduler frees as much.
   const std::size_t nodes = std::max<std::size_t>(1, members_.available(membership::Role::scheduler).size());
   const double per_second = freed == freed_per_second_.end() ? 0 : freed->second * static_cast<double>(nodes);
   if (per_second <= 0) {
@@ -233,7 +237,7 @@
 admission queue_limiter::decide(const admission_request& request) {
   const auto jobs = routes_.find(request.route);
   if (jobs != routes_.end() && jobs->second.contains(request.job)) {
-    return {admission_verdict::admitted, {}};  // sent again
+    return {admission_verdict::admitted, {}};  // resubmitted
   }
   if (!informed_) {
     return {admission_verdict::unsure, kLeastComeback};
@@ -354,7 +358,7 @@
 void queue_limiter::handle(const wire::QueueGrantReplyT& message) {
   auto node = asked_.extract(message.request);
   if (node.empty()) {
-    return;  // given up on
+    return;  // the request has timed out
   }
   const Asked& asked = node.mapped();
   if (message.verdict == wire::QueueVerdict::Full) {
@@ -363,7 +367,7 @@
   }
   admission outcome{admission_verdict::unsure, kLeastComeback};
   if (message.verdict == wire::QueueVerdict::Granted) {
-    take(queued_job(asked.request), true);  // told more exactly by others, maybe
+    take(queued_job(asked.request), true);  // a manager's report, if any, is more exact
     outcome = {admission_verdict::admitted, {}};
   }
   record(asked.request, "keeper", outcome);
--- a/src/batch/queue_limiter.hpp
+++ b/src/batch/queue_limiter.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Limits the tokens that wait on a route over all nodes. See docs/design/queue-limits.md.
+/// @file Limits the tokens that wait on a route, summed over all nodes. See docs/design/queue-limits.md.
 
 #include <cstdint>
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace madderdeck::batch {
 
-/// A job that asks to be let in.
+/// A job that asks for admission to the queue of a route.
 struct admission_request {
   std::string route;
   JobId job;
@@ -27,58 +27,58 @@
 
 enum class admission_verdict : std::uint8_t {
   admitted,
-  full,    ///< It does not fit at present.
-  unsure,  ///< This node cannot tell; nothing was let in.
+  full,    ///< The job does not fit within the limit at present.
+  unsure,  ///< This node cannot decide; the job was not admitted.
 };
 
 struct admission {
   admission_verdict verdict = admission_verdict::unsure;
-  Duration retry_after{};  ///< When it is worth asking again; zero where admitted.
+  Duration retry_after{};  ///< Time after which to ask again; zero where admitted.
 
   auto operator<=>(const admission&) const = default;
 };
 using AdmissionDone = std::function<void(admission)>;
 
-/// Every node keeps a view of the open jobs of all limited routes: those that let a job in announce it before it is
-/// written, those that manage jobs report what still waits. Far below the limit a node decides by its view; near it
-/// it asks the route's keeper, the first of the schedulers in rendezvous order, so that two nodes never give the same
-/// room away. Single threaded.
+/// Every node keeps a view of the open jobs of all limited routes. A node that admits a job announces it before the job
+/// is written; nodes that manage jobs report the tokens that still wait. Far below the limit a node decides by its own
+/// view. Near the limit it asks the route's keeper, the scheduler that ranks first for the route by rendezvous hashing,
+/// so that two nodes never grant the same tokens. Single threaded.
 class queue_limiter {
  public:
   queue_limiter(Environment& environment, Counters& counters, ledger::Client& ledger, membership::Membership& members,
                 DecisionLog& log);
 
   void start();
-  /// @param limit the least limit of a route; 0 where none has one: then nothing is read or told.
+  /// @param limit the lowest limit of any route; 0 if no route has a limit, and then nothing is read or reported.
   void set_least_limit(std::uint64_t limit);
   bool limited() const { return least_limit_ > 0; }
-  /// Decides on a job; @p done may run before this returns.
+  /// Decides whether to admit a job; @p done may run before this returns.
   void admit(const admission_request& request, AdmissionDone done);
-  /// A job that was let in was certainly not accepted, or it needs nothing more.
+  /// Releases the tokens of an admitted job that was certainly not accepted, or that has ended.
   void close(const std::string& route, const JobId& job);
-  /// @p job was ended by its caller.
+  /// Releases the tokens of @p job in this node's view, since its caller ended it.
   void close(const JobId& job);
-  /// What waits of the jobs that this node manages. Told to the others where it changed: soon when a limit is near,
-  /// seldom when all are far.
+  /// Sets the waiting tokens of the jobs that this node manages. Changes are reported to the other nodes: at short
+  /// intervals when a route is near the limit, at long ones otherwise.
   void set_managed(const std::vector<wire::QueuedJobT>& jobs);
 
   void handle(const wire::QueueReportT& message);
   void handle(const PeerAddress& sender, const wire::QueueGrantRequestT& message);
   void handle(const wire::QueueGrantReplyT& message);
 
-  /// @return tokens that wait on @p route by this node's view.
+  /// @return the tokens that wait on @p route according to this node's view.
   std::uint64_t waiting(const std::string& route) const;
-  /// @return whether the view is known to hold all open jobs.
+  /// @return whether this node's view is known to contain all open jobs.
   bool informed() const { return informed_; }
 
  private:
   struct Entry {
     std::uint64_t tokens = 0;
     Timestamp heard_at{};
-    bool estimated = false;  ///< The whole job, from its record; its manager knows better.
+    bool estimated = false;  ///< All tokens of the job, from its record; reports of its manager replace them.
   };
   using Jobs = std::map<JobId, Entry>;
-  /// A question to a keeper that is under way.
+  /// An admission request that waits for the keeper's answer or for a complete view.
   struct Asked {
     admission_request request;
     AdmissionDone done;
@@ -86,21 +86,21 @@
 
   void tick();
   void read_if_needed();
-  /// The view has become complete, or it takes too long: those who wait are decided on.
+  /// Decides on the waiting requests, since the view has become complete or has taken too long.
   void decide_waiting();
   void admit_now(const admission_request& request, const AdmissionDone& done);
   void read_records(std::uint32_t group, const std::string& after);
   void take(const wire::QueuedJobT& job, bool estimated);
   void tell(std::vector<wire::QueuedJobT> jobs);
-  /// @return how long to wait between two reports of the jobs managed here.
+  /// @return the interval between two reports of the jobs that this node manages.
   Duration report_interval() const;
   admission decide(const admission_request& request);
-  /// @return whether @p request fits even if every node lets in as much at this moment without asking.
+  /// @return whether @p request fits even if every node admits as much at the same moment without asking the keeper.
   bool fits_unasked(const admission_request& request);
-  /// Notes that @p request was let in and tells the others.
+  /// Records that @p request was admitted and reports it to the other nodes.
   void reserve(const admission_request& request);
   void ask_keeper(const wire::MemberT& keeper, const admission_request& request, AdmissionDone done);
-  /// A job that is known already takes no further room.
+  /// Admits a job whose record exists already, since it takes no further tokens; refuses any other as full.
   void admit_if_known(const admission_request& request, const AdmissionDone& done);
   Duration time_until_free(const std::string& route, std::uint64_t tokens) const;
   void record(const admission_request& request, const char* by, const admission& outcome);
@@ -111,15 +111,15 @@
   membership::Membership& members_;
   DecisionLog& log_;
   std::map<std::string, Jobs> routes_;
-  std::map<JobId, Timestamp> closed_at_;  ///< Of the last moments: older words of these may still be under way.
-  /// Let in without asking, and when; the others may not have heard of it.
+  std::map<JobId, Timestamp> closed_at_;  ///< Recently closed jobs; older reports of them may still be in transit.
+  /// A job that this node admitted by its own decision; the other nodes may not have received the report yet.
   struct Unasked {
     Timestamp at{};
     std::uint64_t tokens = 0;
   };
-  std::map<std::string, std::vector<Unasked>> unasked_;  ///< By route; of the last kNewsTravel.
-  std::map<std::string, double> freed_per_second_;       ///< Moving average, by route.
-  std::map<JobId, wire::QueuedJobT> told_;               ///< What this node last told of the jobs it manages.
+  std::map<std::string, std::vector<Unasked>> unasked_;  ///< Keyed by route; those of the last kNewsTravel.
+  std::map<std::string, double> freed_per_second_;       ///< Moving average, keyed by route.
+  std::map<JobId, wire::QueuedJobT> told_;               ///< Last reported state of the jobs that this node manages.
   std::map<std::uint64_t, Asked> asked_;
   std::vector<Asked> waiting_for_view_;
   bool decision_scheduled_ = false;
--- a/src/batch/result_reader.cpp
+++ b/src/batch/result_reader.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr Duration kPollInterval = 200ms;
 constexpr std::uint32_t kScanPage = 1000;
-/// Results that one question asks for; jobs of the users' sites have 200 items at most.
+/// Most results that one request asks for; the jobs of known users have at most 200 items.
 constexpr std::size_t kMostFetched = 256;
 constexpr std::size_t kMaxRememberedBytes = 6 << 20;
 constexpr std::size_t kMaxRememberedJobs = 256;
@@ -28,7 +28,7 @@
   reading->answer_by = reading->deadline + kAnswerWithin;
   reading->done = std::move(done);
   environment_.after(wait + kAnswerWithin,
-                     lifetime_.guard([this, reading] { answer(reading, "the time for the answer is over"); }));
+                     lifetime_.guard([this, reading] { answer(reading, "the answer deadline has passed"); }));
   with_job(job, reading->answer_by, [this, reading](Result<Known*> result) {
     if (!succeeded(result) && error_of(result).kind == ErrorKind::not_found) {
       finish(reading, error_of(result));
@@ -42,7 +42,7 @@
   });
 }
 
-/// Goes on with what is known of @p job, reading its record where nothing is.
+/// Calls @p next with the cached entry of @p job; reads the job's record first if the job is not cached.
 void ResultReader::with_job(const JobId& job, Timestamp until, std::function<void(Result<Known*>)> next) {
   if (const auto entry = known_.find(job); entry != known_.end()) {
     entry->second.used_at = environment_.now();
@@ -79,7 +79,7 @@
       oldest = entry->second.readers == 0 && older ? entry : oldest;
     }
     if (oldest == known_.end()) {
-      return;  // all are being read
+      return;  // every job is being read
     }
     bytes_ -= oldest->second.bytes;
     known_.erase(oldest);
@@ -135,9 +135,9 @@
   }
 }
 
-/// Results are written before they are listed, so what is listed can be read. One question asks for all that are
-/// missing: one for each result, sent again where it was slow, kept a busy group from ever answering (simulated: 32
-/// callers, machines with a tenth of a core, none of 32 jobs whole after 15 s).
+/// Results are written before they are listed, so all listed results can be read. One request fetches all results that
+/// are missing. With one request for each result, retried when slow, a busy group never answered: in a simulation of 32
+/// callers and machines with a tenth of a core, none of 32 jobs was read completely after 15 s.
 void ResultReader::read_results(const ReadingPointer& reading) {
   const Known& known = known_.at(reading->job);
   std::vector<std::string> missing;
@@ -167,7 +167,7 @@
       }
     }
   }
-  answer(reading, succeeded(result) ? "the first result could not be settled" : error_of(result).detail);
+  answer(reading, succeeded(result) ? "no majority confirmed the first result" : error_of(result).detail);
 }
 
 void ResultReader::answer(const ReadingPointer& reading, const std::string& failure) {
@@ -176,7 +176,7 @@
   }
   const auto entry = known_.find(reading->job);
   if (!reading->order_read || entry == known_.end()) {
-    // An empty page would say that the job has no results.
+    // An empty page would mean that the job has no results.
     fail(reading, reading->holds_job ? "order" : "job", failure);
     return;
   }
--- a/src/batch/result_reader.hpp
+++ b/src/batch/result_reader.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Reads batch jobs whose results have lasting positions: a position, once read, keeps its
-/// content at every node.
+/// @file Reads the results of batch jobs whose positions never change: a position that was read once has the same
+/// content on every node.
 
 #include <algorithm>
 #include <functional>
@@ -22,32 +22,33 @@
   std::uint32_t from = 0;
   std::vector<wire::ResultRecordT> results;
 };
-/// ErrorKind::not_found: no such job. ErrorKind::unavailable: no majority of replicas answered.
+/// Gets ErrorKind::not_found if there is no such job, ErrorKind::unavailable if no majority of replicas answered in
+/// time.
 using ResultPageDone = std::function<void(Result<ResultPage>)>;
-/// As above; not_found also when the job has no such item.
+/// Same errors as ResultPageDone; ErrorKind::not_found also if the job has no such item.
 using ItemBodyDone = std::function<void(Result<wire::HttpItemT>)>;
 
-/// Reads through the ledger; remembers what cannot change. Single threaded.
+/// Reads through the ledger and caches records that cannot change. Single threaded.
 class ResultReader {
  public:
   ResultReader(Environment& environment, Counters& counters, ledger::Client& ledger, DecisionLog& log);
 
-  /// Reads the results from position @p from on, at most @p max_bytes and at least one if there is
-  /// any. Waits up to @p wait for one to exist. Answers within kAnswerWithin beyond that, with what has come by then.
+  /// Reads the results from position @p from on, at most @p max_bytes but at least one result if there is any. Waits up
+  /// to @p wait for a result to exist. Calls @p done at most kAnswerWithin later, with the results read by then.
   void read(const JobId& job, std::uint32_t from, std::size_t max_bytes, Duration wait, ResultPageDone done);
-  /// Reads an item as it was submitted. Answers within kAnswerWithin.
+  /// Reads an item as it was submitted. Calls @p done within kAnswerWithin.
   void read_item(const JobId& job, const std::string& item_id, ItemBodyDone done);
 
-  /// Callers leave 1.5 s beyond the wait that they allow; the answer needs the rest of it for its way and for a busy
-  /// machine. What is done for a caller after it has left keeps its next try waiting.
+  /// Callers time out 1.5 s after the wait that they allow; the difference is left for network transfer and busy
+  /// machines. Work for a caller that has timed out would only delay its retry.
   static constexpr Duration kAnswerWithin = 1100ms;
 
  private:
-  /// A question ends so long before the answer that waits for it: what the replicas did is told, not only that the time
-  /// is over.
+  /// A ledger request times out this long before the answer is due, so that the log can say what the replicas answered
+  /// and not only that the time ran out.
   static constexpr Duration kReasonMargin = 20ms;
 
-  /// What is known of a job and will not change.
+  /// Cached records of a job; none of them can change.
   struct Known {
     std::uint32_t total = 0;
     std::string submission;
@@ -55,17 +56,17 @@
     std::map<std::uint32_t, wire::ResultRecordT> results;
     std::size_t bytes = 0;
     Timestamp used_at{};
-    unsigned readers = 0;  ///< Readings under way; the job is not forgotten meanwhile.
+    unsigned readers = 0;  ///< Reads in progress; the job is not evicted meanwhile.
   };
   struct Reading {
     JobId job;
     std::uint32_t from = 0;
     std::size_t max_bytes = 0;
-    Timestamp deadline{};   ///< Until then it waits for a result to exist.
-    Timestamp answer_by{};  ///< Whatever has come by then is the answer.
+    Timestamp deadline{};   ///< End of the wait for a result to exist.
+    Timestamp answer_by{};  ///< The results read by then are the answer.
     Timestamp started{};
     bool holds_job = false;   ///< Counted in Known::readers.
-    bool order_read = false;  ///< Before, no results known means nothing.
+    bool order_read = false;  ///< Until then, a lack of known results does not mean that there are none.
     bool answered = false;
     ResultPageDone done;
   };
@@ -76,13 +77,13 @@
   void read_results(const ReadingPointer& reading);
   void take_results(const ReadingPointer& reading, const Result<ledger::ScanPage>& result);
   void remember(Known& known, wire::ResultRecordT record);
-  /// Answers with the results that are known from the reading's position on.
-  /// @param failure why the first of them may be missing.
+  /// Answers with the cached results from the requested position on.
+  /// @param failure reason to log if the first of them is missing.
   void answer(const ReadingPointer& reading, const std::string& failure);
-  /// Answers that the results cannot be read now, and says in the log what was met.
+  /// Answers with ErrorKind::unavailable and logs @p stage and @p reason.
   void fail(const ReadingPointer& reading, const char* stage, const std::string& reason);
   void finish(const ReadingPointer& reading, Result<ResultPage> result);
-  /// @return for how long records may be waited for, so that the answer can say why they did not come.
+  /// @return the timeout for a ledger request whose outcome is needed kReasonMargin before @p until.
   Duration left_until(Timestamp until) const {
     return std::max<Duration>(until - kReasonMargin - environment_.now(), 1ms);
   }
--- a/src/batch/submission.cpp
+++ b/src/batch/submission.cpp
@@ -135,7 +135,7 @@
     const bool mine = standing->submission == submission_;
     const bool same_items = standing->digest == digest_ && standing->items == items_;
     if (!mine && (!same_items || standing->template_name != request_.template_name)) {
-      complete(Error{ErrorKind::conflict, "the idempotency key goes with another job"});
+      complete(Error{ErrorKind::conflict, "the idempotency key is already used by another job"});
       return;
     }
     counters_[mine ? "jobs_accepted_total" : "jobs_resent_total"]++;
--- a/src/batch/submission.hpp
+++ b/src/batch/submission.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Taking a job: items are stored chunk by chunk as they arrive, then one record makes
-/// the whole job accepted, or none of it.
+/// @file Submits a job: stores the items in chunks as they arrive, then writes one job record that accepts the job as a
+/// whole.
 
 #include <functional>
 #include <numeric>
@@ -18,44 +18,45 @@
   std::string tenant;
   std::string idempotency_key;
   std::string template_name;
-  std::uint32_t priority = 0;       ///< Greater goes first among batch work.
+  std::uint32_t priority = 0;       ///< Jobs with a greater value go first.
   std::uint64_t deadline_ms = 0;    ///< Unix milliseconds; 0 is none.
-  std::string host;                 ///< For items that are HTTP requests; otherwise empty.
-  std::uint64_t give_up_at_ms = 0;  ///< Unix milliseconds from when on unfinished items are failed; 0 is never.
+  std::string host;                 ///< Host of items that are HTTP requests; otherwise empty.
+  std::uint64_t give_up_at_ms = 0;  ///< Unix milliseconds after which unfinished items fail; 0 is never.
   std::size_t max_item_bytes = kMaxItemBytes;
 };
 
-/// The job that stands after a submission.
+/// The job that is stored after a submission.
 struct SubmittedJob {
   wire::JobRecordT record;
-  bool existed = false;  ///< An earlier submission under the same key, with the same items.
+  bool existed = false;  ///< It was stored by an earlier submission with the same key and items.
 };
 using SubmitDone = std::function<void(Result<SubmittedJob>)>;
 
-/// One submission in progress. Memory is bounded by kMaxChunksInFlight chunks, whatever the
-/// size of the job. Single threaded.
+/// One submission in progress. Its memory is bounded by kMaxChunksInFlight chunks, whatever the size of the job. Single
+/// threaded.
 class Submission {
  public:
   Submission(Environment& environment, Counters& counters, ledger::Client& ledger, submission_window& window,
              JobRequest request);
-  /// One that is given up counts no longer.
+  /// Releases the submission's share of the window if it has not finished.
   ~Submission();
   Submission(const Submission&) = delete;
   Submission& operator=(const Submission&) = delete;
 
-  /// Takes one item, a JSON text.
-  /// @return a typed refusal of the item (limits); the submission cannot go on after it.
-  /// @param tokens what it is stated to need, prompt and answer; 0 where nothing is stated.
+  /// Adds one item, a JSON text or an encoded HTTP item.
+  /// @return ErrorKind::limit_exceeded if the item breaks a limit, or the error of an earlier write; the submission
+  /// cannot continue after an error.
+  /// @param tokens stated size of prompt and answer; 0 if none is stated.
   Status add(std::string_view item, std::uint32_t tokens = 0);
-  /// @return whether more items should be held back until on_room runs.
+  /// @return whether the caller should add no more items until the hook of on_room() runs.
   bool congested() const { return chunks_in_flight_ >= kMaxChunksInFlight; }
   void on_room(std::function<void()> hook) { room_ = std::move(hook); }
-  /// All items have been added; @p done gets the job that stands.
+  /// Called once all items have been added; @p done gets the stored job.
   void finish(SubmitDone done);
   std::uint32_t items() const { return items_; }
-  /// @return when a submission that failed as unavailable may succeed.
+  /// @return the time after which to retry a submission that failed with ErrorKind::unavailable.
   Duration retry_after() const { return window_.retry_after(); }
-  /// @return what all items are stated to need.
+  /// @return the sum of the stated tokens of all items.
   std::uint64_t tokens() const { return std::accumulate(tokens_.begin(), tokens_.end(), std::uint64_t{0}); }
   const JobId& job() const { return job_; }
 
@@ -63,7 +64,7 @@
 
  private:
   void write_chunk();
-  /// @return whether the ledger may be given @p bytes more.
+  /// @return whether the window allows writing @p bytes more to the ledger.
   bool enter_window(std::size_t bytes);
   void leave_window(submission_end end);
   void on_chunk_written(const Result<ledger::OptionalValue>& result);
@@ -80,10 +81,10 @@
   wire::ChunkRecordT chunk_;
   std::uint32_t items_ = 0;
   std::uint32_t chunks_ = 0;
-  std::vector<std::uint32_t> tokens_;  ///< By item; empty where none is stated.
+  std::vector<std::uint32_t> tokens_;  ///< Indexed by item; empty if no item states any.
   std::uint64_t digest_ = 0;
   std::size_t chunks_in_flight_ = 0;
-  std::size_t window_bytes_ = 0;  ///< Counted in the window.
+  std::size_t window_bytes_ = 0;  ///< Bytes of this submission that count in the window.
   Timestamp entered_at_{};
   std::optional<Error> failure_;
   std::function<void()> room_;
--- a/src/batch/submission_window.cpp
+++ b/src/batch/submission_window.cpp
@@ -6,7 +6,7 @@
 namespace {
 /// Weight of the latest job in the smoothed rate.
 constexpr double kRateWeight = 0.3;
-/// Jobs stored at the same moment say nothing about the rate.
+/// Lower bound of the interval over which the rate is measured, for jobs that are stored at the same moment.
 constexpr Duration kLeastInterval = 10ms;
 }  // namespace
 
--- a/src/batch/submission_window.hpp
+++ b/src/batch/submission_window.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Limits what this node writes of new batch jobs at a time to what the ledger stores in time.
+/// @file Limits the bytes of new batch jobs that this node writes at a time to what the ledger can store in time.
 
 #include <cstddef>
 
@@ -11,40 +11,40 @@
 
 enum class submission_end {
   stored,
-  failed,     ///< The ledger did not store it in time.
-  abandoned,  ///< Its caller has left, or it was refused for what it holds.
+  failed,     ///< The ledger did not store the job in time.
+  abandoned,  ///< The caller disconnected, or the job was refused for its content.
 };
 
 struct submission_window_limits {
-  std::size_t first_bytes = 8 << 20;  ///< Window of a node that has just started.
+  std::size_t first_bytes = 8 << 20;  ///< Initial window of a node.
   std::size_t least_bytes = 1 << 20;
   std::size_t most_bytes = 16 << 20;
-  Duration good_within = 1s;    ///< A job stored faster lets the window grow.
-  Duration bad_after = 2500ms;  ///< One that took longer, or failed, halves it; writes end after 4 s.
-  Duration cut_pause = 1s;      ///< Between two cuts: jobs of one moment fail together.
+  Duration good_within = 1s;    ///< The window grows when a job is stored within this time.
+  Duration bad_after = 2500ms;  ///< The window is halved when a job took longer or failed; writes time out after 4 s.
+  Duration cut_pause = 1s;      ///< Least time between two cuts, since jobs written at the same time fail together.
   Duration least_retry_after = 500ms;
   Duration most_retry_after = 10s;
 };
 
-/// Jobs are stored whole or not at all, so more than the ledger takes in the time of a write means that none is stored.
-/// The window grows by a job's size for each windowful that was stored in time, and is halved when one was not
-/// (additive increase, multiplicative decrease). A job of any size passes while no other is being written. Single
-/// threaded.
+/// Congestion window for job submissions. A job is stored whole or not at all, so if more bytes are written than the
+/// ledger can store before the writes time out, no job is stored. The window grows by a job's size for each window of
+/// bytes stored in time, and is halved when a job was not stored in time (additive increase, multiplicative decrease).
+/// A job of any size is admitted while no other is being written. Single threaded.
 class submission_window {
  public:
   submission_window(Environment& environment, Counters& counters, DecisionLog& log,
                     submission_window_limits limits = {});
 
-  /// @return whether a job of @p bytes may be written now; where not, that is counted and told.
+  /// @return whether a job of @p bytes may be written now; a refusal is counted and logged.
   bool has_room(std::size_t bytes);
-  /// Asks to write @p bytes of a new job.
-  /// @return whether it may; leave() is called at its end then.
+  /// Admits a new job of which @p bytes are to be written.
+  /// @return whether the job was admitted; if so, the caller calls leave() when the job ends.
   bool enter(std::size_t bytes);
-  /// Counts @p bytes more of a job that has entered.
+  /// Counts @p bytes more of a job that was admitted.
   void add(std::size_t bytes);
-  /// The job that had entered with so many bytes has ended; it took @p took.
+  /// Ends a job that was admitted and added up to @p bytes; writing it took @p took.
   void leave(std::size_t bytes, Duration took, submission_end end);
-  /// @return when one that may not enter is likely to find room.
+  /// @return the time after which a refused job is likely to be admitted.
   Duration retry_after() const;
   std::size_t window_bytes() const { return window_; }
 
@@ -60,7 +60,7 @@
   const submission_window_limits limits_;
   std::size_t window_;
   std::size_t in_flight_ = 0;
-  double bytes_per_second_ = 0;  ///< Stored, smoothed; 0: none yet.
+  double bytes_per_second_ = 0;  ///< Smoothed rate of stored bytes; 0 before the first.
   Timestamp last_stored_at_{};
   Timestamp cut_at_{};
 };
