--- a/src/batch/result_reader.cpp
+++ b/src/batch/result_reader.cpp
@@ -167,7 +167,7 @@
       }
     }
   }
-  answer(reading, succeeded(result) ? "no majority confirmed the first result" : error_of(result).detail);
+  answer(reading, succeeded(result) ? "the replies hold no value of the first result" : error_of(result).detail);
 }
 
 void ResultReader::answer(const ReadingPointer& reading, const std::string& failure) {
--- a/tests/batch/dispatcher_test.cpp
+++ b/tests/batch/dispatcher_test.cpp
@@ -15,7 +15,7 @@
 constexpr char kPool[] = "m";
 const PeerAddress kManager("node-0:1");
 
-/// A dispatcher on node-0, which is alone at first, with one engine of four slots.
+/// A dispatcher on node-0, at first the only member, with one engine of four slots.
 struct dispatcher_fixture {
   dispatcher_fixture() : engine(engine_of_other()) {
     config::VersionedTable machines;
@@ -33,7 +33,7 @@
     fleet.environment.world.run_for(500ms);
   }
 
-  /// @return an engine that node-1 looks after once it is there.
+  /// @return an engine that node-1 owns once it has joined.
   static BackendId engine_of_other() {
     fleet_members both(2);
     for (int number = 0;; ++number) {
@@ -59,7 +59,7 @@
     dispatcher.handle(kManager, items);
     last_given = std::move(items);
   }
-  /// The message of the last give_item() arrives once more.
+  /// Delivers the message of the last give_item() again.
   void repeat_item() { dispatcher.handle(kManager, last_given); }
   void add_other() {
     wire::MemberSyncT sync;
@@ -90,14 +90,14 @@
 
 }  // namespace
 
-TEST_CASE("what runs on an engine that another dispatcher looks after by now is put back with what it has made") {
+TEST_CASE("a run on an engine that another dispatcher owns by now is requeued with its progress") {
   dispatcher_fixture fixture;
   fixture.give_item();
   REQUIRE(fixture.backends.engine_calls.size() == 1);
   CHECK(fixture.backends.engine_calls[0].engine == fixture.engine);
   fixture.fleet.environment.world.run_for(400ms);
   CHECK_FALSE(fixture.backends.engine_calls[0].cancelled);
-  // Its owner is back: live calls are told to that one, and nobody would make this run yield.
+  // The engine's owner joins: live calls are reported only to it, so this run would never yield to them.
   fixture.add_other();
   fixture.fleet.environment.world.run_for(300ms);
   CHECK(fixture.backends.engine_calls[0].cancelled);
@@ -106,7 +106,7 @@
 
 namespace {
 
-/// @return how often @p manager was told that item 0 of job "j" is held.
+/// @return the number of messages that told @p manager that item 0 of job "j" is held.
 std::size_t confirmations(dispatcher_fixture& fixture, const PeerAddress& manager) {
   std::size_t told = 0;
   for (const auto& message : fixture.fleet.environment.sent) {
@@ -122,34 +122,34 @@
 
 }  // namespace
 
-TEST_CASE("what is held is confirmed every second, while it runs and while its result is written") {
+TEST_CASE("a held item is confirmed every second, while it runs and while its result is written") {
   dispatcher_fixture fixture;
   fixture.give_item();
   REQUIRE(fixture.backends.engine_calls.size() == 1);
   fixture.fleet.environment.world.run_for(2100ms);
   CHECK(confirmations(fixture, kManager) >= 2);
   fixture.fleet.environment.sent.clear();
-  // No group answers, so that the result is being written for some seconds.
+  // No ledger group answers, so writing the result takes some seconds.
   fixture.backends.engine_calls[0].events.token(0, "text");
   fixture.backends.engine_calls[0].events.finished(1);
   fixture.fleet.environment.world.run_for(2100ms);
   CHECK(confirmations(fixture, kManager) >= 2);
 }
 
-TEST_CASE("what is held is confirmed to the manager that gave it and to the one that follows it") {
+TEST_CASE("a held item is confirmed to the manager that handed it out and to the job's current manager") {
   dispatcher_fixture fixture;
   fixture.give_item();
   fixture.add_other();
-  // Wherever the job belongs by now, the node that gave the item is told, too.
+  // Checks the job's current manager, which may be another node than the one that handed out the item.
   fixture.fleet.environment.sent.clear();
   fixture.fleet.environment.world.run_for(1100ms);
   const std::string present = fixture.fleet.who.manager_of("j")->peer_address;
   CHECK(confirmations(fixture, PeerAddress(present)) >= 1);
 }
 
-// A resting fleet of 10,000 engines: 10,000 of them were asked for their load each second, by nodes that had no call
-// there.
-TEST_CASE("an engine that nobody calls is asked for its load in one round of ten, one with calls in each") {
+// Guards against polling idle engines too often: in an idle fleet of 10,000 engines, all 10,000 were polled for their
+// load each second by nodes that had no call there.
+TEST_CASE("an idle engine is polled for its load in one of ten rounds, an engine with calls in every round") {
   dispatcher_fixture fixture;
   REQUIRE(fixture.dispatcher.owns(fixture.engine));
   const auto asked = [&fixture] {
@@ -173,9 +173,9 @@
   CHECK(asked() == Dispatcher::kIdleRounds);
 }
 
-// A message may be repeated on the way. An item that came twice was run twice at once; one under which engines had
-// ended was withheld twice and given back twice, so that its one more try was made at two engines.
-TEST_CASE("an item whose message is repeated on the way is taken once") {
+// The network may duplicate a message. An item that arrived twice was run twice at the same time; an item that engines
+// had terminated under was withheld and returned twice, so that its one further attempt was made on two engines.
+TEST_CASE("an item whose message is duplicated by the network is accepted once") {
   dispatcher_fixture fixture;
   fixture.give_item();
   fixture.repeat_item();
--- a/tests/batch/job_manager_test.cpp
+++ b/tests/batch/job_manager_test.cpp
@@ -35,7 +35,8 @@
   return hooks;
 }
 
-/// A manager with one job of three items, a ledger of one replica that the fixture plays, and one other scheduler.
+/// A manager with one job of three items, one other scheduler, and a ledger of one replica, which the fixture
+/// simulates.
 struct ManagerFixture {
   ManagerFixture() {
     wire::MemberSyncT list;
@@ -56,7 +57,7 @@
     manager.start();
   }
 
-  /// Lets time pass and answers for the ledger.
+  /// Advances the time by @p length and answers on behalf of the ledger.
   void run(Duration length) {
     for (Duration passed{}; passed < length; passed += 5ms) {
       environment.world.run_for(5ms);
@@ -111,13 +112,13 @@
     message.partial_tokens = kMadeEvents;
     return message;
   }
-  /// @return indexes of the items that the manager gives to a scheduler that asks for all.
+  /// @return indexes of the items that the manager hands out to a scheduler that asks for all.
   std::vector<std::uint32_t> take_all() {
     wire::TakeItemsT request;
     request.capacity = 10;
     const std::size_t before = environment.sent.size();
     manager.handle(kOther, request);
-    run(50ms);  // the first question has the items read
+    run(50ms);  // the first request makes the manager read the items
     manager.handle(kOther, request);
     std::vector<std::uint32_t> indexes;
     for (std::size_t position = before; position < environment.sent.size(); ++position) {
@@ -143,7 +144,7 @@
   std::map<std::string, wire::Bytes> values;
   std::size_t answered = 0;
 
-  /// Takes the job's ownership to this node whatever the ranking says.
+  /// Makes this node the owner of the job, whatever the ranking says.
   void leave_other() {
     wire::MemberSyncT list;
     auto other = std::make_unique<wire::MemberT>(scheduler("other", kOther));
@@ -155,8 +156,8 @@
 
 }  // namespace
 
-TEST_CASE("what is told of a job before it is open here counts once it is: nothing runs twice, nothing made is lost") {
-  // bmpua-deck trouble-2 --seed 11: managers left one after the other, their successors handed out running items again.
+TEST_CASE("messages about a job that is not open yet are applied once it is: no item runs twice, no progress is lost") {
+  // Guards against new managers handing out running items again when several managers leave one after the other.
   ManagerFixture fixture;
   fixture.leave_other();
   fixture.manager.handle(kOther, fixture.settled(0, true));
@@ -166,8 +167,8 @@
   CHECK(fixture.counters["batch_items_claimed_by_holders_total"] == 1);
 }
 
-TEST_CASE("a manager that leaves hands over what items have made") {
-  // The same day: an item of 219 events began again from 0.
+TEST_CASE("a manager that leaves hands over the progress of its items") {
+  // Guards against loss of progress: an item with 219 events was restarted from 0 after its manager had left.
   ManagerFixture fixture;
   fixture.leave_other();
   fixture.manager.handle(kOther, fixture.settled(1, false));
@@ -208,11 +209,11 @@
   CHECK(fixture.manager.queued_jobs().front().tokens == 30);
 }
 
-// An item was left lying: its job came while gateways were stopped one after the other, nothing ran it any more, and it
-// was neither listed nor begun again until the end. The word that its holder had given it back goes out once, to the
-// node that the holder takes for the job's manager; where the two differ on that, or the message is lost, the manager
-// waits for the whole lease of 30 s, longer than what was left. Nobody else ever says whether the item is still held.
-TEST_CASE("an item that nobody says they hold is handed out again within 3 s") {
+// Guards against items that stay leased although no node holds them. The holder reports once that it returns an item,
+// to the node that it takes for the job's manager. When the nodes disagreed on the manager, or the message was lost
+// while gateways were stopped one after the other, the manager waited for the whole lease of 30 s, longer than the time
+// left for the job, and the item was neither run nor listed.
+TEST_CASE("an item that no dispatcher confirms to hold is handed out again within 3 s") {
   ManagerFixture fixture;
   fixture.leave_other();
   wire::JobNoticeT notice;
@@ -246,7 +247,7 @@
 
 }  // namespace
 
-TEST_CASE("items that their holder confirms stay with it, others do not") {
+TEST_CASE("items that their holder confirms stay leased to it, others do not") {
   ManagerFixture fixture;
   open_job(fixture);
   REQUIRE(fixture.take_all().size() == 3);
@@ -256,11 +257,11 @@
     fixture.run(1s);
   }
   CHECK(fixture.counters["batch_item_leases_expired_total"] == 1);
-  // After its lease the stranger's word stands for item 1.
+  // Once its lease has expired, item 1 is leased to the stranger, which confirmed it.
   CHECK(fixture.take_all().empty());
 }
 
-TEST_CASE("an item whose word of being done was lost is listed, not run again") {
+TEST_CASE("an item whose completion message was lost is listed and not run again") {
   ManagerFixture fixture;
   open_job(fixture);
   REQUIRE(fixture.take_all().size() == 3);
--- a/tests/batch/queue_limiter_test.cpp
+++ b/tests/batch/queue_limiter_test.cpp
@@ -17,7 +17,7 @@
 constexpr char kRoute[] = "quotes";
 constexpr std::uint64_t kLimit = 100;
 
-/// Limiters of several nodes over a network without loss; a replica that holds nothing answers for the ledger.
+/// Limiters of several nodes over a network without loss; an empty replica answers on behalf of the ledger.
 class Fleet {
  public:
   explicit Fleet(unsigned count, std::uint64_t seed = 1) : world(seed) {
@@ -35,10 +35,10 @@
   }
 
   queue_limiter& at(unsigned number) { return nodes_[number]->limiter; }
-  /// Lets node @p number miss all messages, or hear them again.
+  /// Makes node @p number lose all incoming messages, or receive them again.
   void set_deaf(unsigned number, bool deaf) { nodes_[number]->deaf = deaf; }
 
-  /// Asks node @p number; an admitted job is managed there from then on.
+  /// Asks node @p number to admit a job; that node manages the job if it is admitted.
   void ask(unsigned number, const std::string& job, std::uint64_t tokens) {
     Node& node = *nodes_[number];
     node.limiter.admit({kRoute, JobId(job), tokens, kLimit}, [this, &node, job, tokens](const admission& outcome) {
@@ -49,13 +49,13 @@
       }
     });
   }
-  /// All items of @p job are done.
+  /// Ends @p job, all items of which are done, on node @p number.
   void finish(unsigned number, const std::string& job) {
     if (nodes_[number]->managed.erase(job) > 0) {
       nodes_[number]->limiter.close(kRoute, JobId(job));
     }
   }
-  /// @return tokens that really wait.
+  /// @return the tokens that actually wait, summed over all nodes.
   std::uint64_t waiting() const {
     std::uint64_t sum = 0;
     for (const auto& node : nodes_) {
@@ -223,7 +223,7 @@
     }
   }
   fleet.world.run_for(1s);
-  // Three fit; half the limit may be given away without asking by each node at once.
+  // Three jobs fit. Up to half the limit may be granted without asking the keeper, by all nodes at the same time.
   CHECK(fleet.waiting() <= kLimit);
   CHECK(fleet.admitted() == 3);
 }
@@ -239,7 +239,7 @@
   fleet.world.run_for(1s);
   const unsigned unsure = (fleet.verdicts["a"].verdict == admission_verdict::unsure ? 1 : 0) +
                           (fleet.verdicts["b"].verdict == admission_verdict::unsure ? 1 : 0);
-  CHECK(unsure == 1);  // the one that is not the keeper got no answer
+  CHECK(unsure == 1);  // the node that is not the keeper got no answer from it
 }
 
 TEST_CASE("what waits never passes the limit and what fits is let in, whoever is asked and when") {
--- a/tests/batch/result_reader_test.cpp
+++ b/tests/batch/result_reader_test.cpp
@@ -13,14 +13,13 @@
 constexpr std::size_t kPageBytes = 900'000;
 constexpr std::uint32_t kItems = 70;
 constexpr std::size_t kResultBytes = 10'000;
-/// What a question takes on a tenth of a core, and a kilobyte of the answer.
+/// Processing time of a request, and of each kilobyte of its answer, on a tenth of a core.
 constexpr Duration kPerQuestion = 1ms;
 constexpr Duration kPerKilobyte = 20us;
-constexpr Duration kCallersPatience = 1500ms;  ///< Beyond what a caller allows a call to wait.
+constexpr Duration kCallersPatience = 1500ms;  ///< Time after the wait that a caller allows.
 constexpr Duration kPause = 300ms;
 
-/// A caller that reads a job from its start: after each failure, and when it has waited for long enough, it asks the
-/// next gateway.
+/// A caller that reads a job from its first result on: after each failure or timeout it retries at the next gateway.
 struct persistent_caller {
   persistent_caller(slow_group& nodes, JobId wanted, unsigned first, unsigned count)
       : group(nodes), job(std::move(wanted)), gateway(first), gateways(std::max(1U, count)) {}
@@ -33,7 +32,7 @@
   }
   void take(std::uint64_t call, const Result<ResultPage>& result) {
     if (call != calls || whole()) {
-      return;  // it has left
+      return;  // the caller has given up on this call
     }
     if (!succeeded(result) || value_of(result).results.empty()) {
       group.world.schedule(kPause, [this, call] { come_back(call); });
@@ -64,14 +63,13 @@
 
 }  // namespace
 
-// Jobs that had been run and read did not come again when they were read once more at the end, though the nodes that
-// held them had a majority and nothing else was going on. A reading asked its group once for each result, up to 64
-// times at the same moment and five members each; whatever had not come whole within 400 ms was thrown away and asked
-// for again. The caller left after a second and a half, its next gateway began anew, and the first went on for up to
-// twelve seconds. So a few readers kept the group busy with questions that nobody waited for any more. Settled by
-// 'results_read_failed' with "attempts 4, replies 0 of 5" and 'read_abandoned' in the same second, at every gateway and
-// without end, on nodes that had a tenth of a core each.
-TEST_CASE("results come again when many callers read at once from a group on slow machines") {
+// Guards against reads that overload a ledger group on slow machines (a tenth of a core each), although the group has a
+// majority and no other load. A read sent one request for each result, up to 64 at the same time to five replicas each;
+// replies that were not complete within 400 ms were discarded and requested again. The caller timed out after a second
+// and a half and retried at the next gateway, while the first gateway went on for up to twelve seconds. A few readers
+// thus kept the group busy with requests that no caller waited for any more. The logs showed 'results_read_failed' with
+// "attempts 4, replies 0 of 5" and 'read_abandoned' in the same second, continuously and on every gateway.
+TEST_CASE("results are read when many callers read at the same time from a group on slow machines") {
   constexpr unsigned kGateways = 40;
   constexpr unsigned kCallers = 32;
   slow_group group(kGateways, kPerQuestion, kPerKilobyte);
@@ -91,11 +89,11 @@
     whole += caller->whole() ? 1 : 0;
     last = std::max(last, caller->whole_at);
   }
-  INFO("the last after " << (last - began) / 1ms << " ms, " << group.questions() << " questions, "
+  INFO("the last after " << (last - began) / 1ms << " ms, " << group.questions() << " requests, "
                          << group.value_bytes() / 1'000'000 << " MB of values");
   CHECK(whole == kCallers);
 }
-TEST_CASE("a page of results costs its group a few questions, however many results it has") {
+TEST_CASE("a page of results takes a few requests to its group, however many results it has") {
   slow_group group(1, kPerQuestion, kPerKilobyte);
   persistent_caller caller(group, group.add_job("job", kItems, kResultBytes), 0, 1);
   const std::uint64_t before = group.questions();
@@ -106,8 +104,8 @@
   CHECK(group.questions() - before <= (kStages + 1) * slow_group::kReplicas);
 }
 
-TEST_CASE("a job is not forgotten while it is read, however many others are asked for meanwhile") {
-  constexpr unsigned kJobs = 24;  // 17 MB of results, of which 6 MiB are remembered
+TEST_CASE("a job is not evicted while it is read, however many others are read meanwhile") {
+  constexpr unsigned kJobs = 24;  // 17 MB of results, of which 6 MiB are cached
   slow_group group(1, Duration(10), Duration(0));
   std::vector<std::unique_ptr<persistent_caller>> callers;
   for (unsigned number = 0; number < kJobs; ++number) {
@@ -124,10 +122,10 @@
   CHECK(group.counters(0)["batch_result_reads_failed_total"] == 0);
 }
 
-// With real processes four readings of jobs that had been read before were answered 200 without a result, while all
-// nodes were starting: the time for the answer was over before the order of the results had been read, and what is not
-// known was taken for what is not there.
-TEST_CASE("a reading whose time is over before anything is known fails; it does not say that there is nothing") {
+// Guards against empty answers to reads that run out of time. While all nodes were starting, four reads of jobs with
+// results were answered with status 200 and no result: the answer was due before the order of the results had been
+// read, and results that were not known yet were taken for absent ones.
+TEST_CASE("a read that times out before any result is known fails and does not answer that there are no results") {
   for (const Duration per_question : {150ms, 400ms, 700ms, 1200ms}) {
     slow_group group(1, Duration(10), Duration(0));
     const JobId job = group.add_job("job", kItems, kResultBytes);
@@ -136,18 +134,18 @@
     group.reader(0).read(job, 0, kPageBytes, Duration::zero(),
                          [&](Result<ResultPage> page) { answer = std::move(page); });
     group.world.run_for(kCallersPatience);
-    INFO("a question takes " << per_question / 1ms << " ms");
+    INFO("a request takes " << per_question / 1ms << " ms");
     REQUIRE(answer);
     CHECK((!succeeded(*answer) || !value_of(*answer).results.empty()));
   }
 }
 
-// An upgrade with real processes from a version whose replicas know no named records: newer gateways put readings off
-// (503, "the first result could not be settled") for as long as such replicas were among the first to answer. Their
-// answer to named records is "0 records and that more follow".
-TEST_CASE("results are read whole beside replicas of a version that knows no named records") {
+// Guards the upgrade from a version whose replicas cannot read records by key: they answer such a request with 0
+// records and the mark that more follow. Newer gateways refused reads with status 503 for as long as such replicas were
+// among the first to answer.
+TEST_CASE("results are read completely when some replicas run a version that cannot read records by key") {
   for (unsigned earlier = 1; earlier <= slow_group::kReplicas; ++earlier) {
-    INFO(earlier << " replicas of the earlier version");
+    INFO(earlier << " replicas run the earlier version");
     slow_group group(1, Duration(10), Duration(0));
     persistent_caller caller(group, group.add_job("job", kItems, kResultBytes), 0, 1);
     group.run_earlier_version(earlier);
--- a/tests/batch/submission_window_test.cpp
+++ b/tests/batch/submission_window_test.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::size_t kJobBytes = 2'000'000;
-constexpr Duration kWriteTime = 4s;        ///< After which a write has failed.
-constexpr Duration kCallersPause = 300ms;  ///< Before a caller sends its job again.
+constexpr Duration kWriteTime = 4s;        ///< Timeout of a write.
+constexpr Duration kCallersPause = 300ms;  ///< Time after which a caller submits its job again.
 
 struct window_fixture {
   TestEnvironment environment;
@@ -22,13 +22,13 @@
   submission_window window{environment, counters, log};
 };
 
-/// A ledger that takes so many bytes a second, one write after the other, also those that were given up meanwhile.
+/// A ledger that stores @p bytes_per_s, one write after the other, including writes that have timed out meanwhile.
 class busy_ledger {
  public:
   busy_ledger(TestEnvironment& environment, std::size_t bytes_per_s)
       : environment_(environment), bytes_per_s_(bytes_per_s) {}
 
-  /// @p done gets whether the write ended in time.
+  /// @p done gets whether the write ended before its timeout.
   void write(std::size_t bytes, std::function<void(bool)> done) {
     const auto work = std::chrono::microseconds(bytes * 1'000'000 / bytes_per_s_);
     free_at_ = std::max(free_at_, environment_.now()) + work;
@@ -42,7 +42,7 @@
   Timestamp free_at_{};
 };
 
-/// Callers that send their jobs again until they are stored.
+/// Callers that submit their jobs again until they are stored.
 class persistent_submitters {
  public:
   persistent_submitters(window_fixture& node, busy_ledger& ledger, bool limited)
@@ -81,13 +81,13 @@
 
 }  // namespace
 
-// In a run on slow machines 976 of 1,011 submissions came to nothing, most of them after traffic had ended: a hundred
-// jobs of 2 MB were sent again and again, all were written at the same time, none was stored whole within the 4 s of a
-// write, and what was written of them was work in vain. Readers of other jobs got no answer meanwhile.
-TEST_CASE("jobs that are sent again and again are stored as fast as the ledger takes them") {
+// Guards against submissions that overload the ledger: on slow machines 976 of 1,011 submissions failed. A hundred jobs
+// of 2 MB were submitted repeatedly and written at the same time, none was stored completely within the 4 s timeout of
+// a write, and all that had been written was discarded. Readers of other jobs got no answer meanwhile.
+TEST_CASE("jobs that are submitted repeatedly are stored as fast as the ledger can store them") {
   constexpr std::size_t kBytesPerS = 5'000'000;
   constexpr unsigned kJobs = 100;
-  constexpr Duration kTime = 60s;  // at its rate the ledger takes them in 40 s
+  constexpr Duration kTime = 60s;  // at its rate the ledger stores the jobs in 40 s
   const bool limited = GENERATE(false, true);
   window_fixture node;
   busy_ledger ledger(node.environment, kBytesPerS);
@@ -99,11 +99,11 @@
   if (limited) {
     CHECK(submitters.stored == kJobs);
   } else {
-    CHECK(submitters.stored < kJobs / 4);  // the fault that the window is for
+    CHECK(submitters.stored < kJobs / 4);  // without the window most writes time out
   }
 }
 
-TEST_CASE("the window follows what the ledger stores") {
+TEST_CASE("the window adapts to the rate at which the ledger stores jobs") {
   window_fixture node;
   const std::size_t first = node.window.window_bytes();
   SECTION("it grows while jobs are stored fast") {
@@ -138,7 +138,7 @@
     node.window.leave(kJobBytes, kWriteTime, submission_end::failed);
     CHECK(node.window.window_bytes() == first / 2);
   }
-  SECTION("one that its caller gives up changes nothing") {
+  SECTION("a job that its caller abandons does not change it") {
     REQUIRE(node.window.enter(kJobBytes));
     node.window.leave(kJobBytes, kWriteTime, submission_end::abandoned);
     CHECK(node.window.window_bytes() == first);
@@ -146,7 +146,7 @@
   }
 }
 
-TEST_CASE("a job larger than the window is let in when it is alone") {
+TEST_CASE("a job larger than the window is admitted when no other job is being written") {
   window_fixture node;
   const std::size_t large = submission_window_limits{}.most_bytes + 1;
   CHECK(node.window.enter(large));
@@ -156,7 +156,7 @@
   CHECK(node.window.enter(1));
 }
 
-TEST_CASE("a refused caller is told to come back when what is being stored is likely to be stored") {
+TEST_CASE("a refused caller is told to retry when the jobs being written are likely to be stored") {
   window_fixture node;
   REQUIRE(node.window.enter(kJobBytes));
   node.environment.world.run_for(2s);
