--- a/src/batch/dispatcher.cpp
+++ b/src/batch/dispatcher.cpp
@@ -8,38 +8,38 @@
 namespace madderdeck::batch {
 namespace {
 constexpr Duration kTick = 20ms;
-constexpr Duration kIdleTick = 200ms;    ///< Tick while this node owns no engine and holds no item.
-constexpr Duration kActivityHolds = 2s;  ///< A gateway's report of live calls counts for this long.
+constexpr Duration kIdleTick = 200ms;     ///< Tick while this node owns no engine and holds no item.
+constexpr Duration kActivityMaxAge = 2s;  ///< A gateway's report of live calls counts for this long.
 /// No item is started on an engine for this long after its items yielded or it refused one.
-constexpr Duration kQuietAfterYield = 100ms;
-constexpr std::size_t kManagersAsked = 3;
+constexpr Duration kPauseAfterYield = 100ms;
+constexpr std::size_t kMaxManagersAsked = 3;
 /// In a large fleet few nodes manage jobs and a dispatcher has many slots. It asks up to this many managers, in
 /// practice all, so that the items with the nearest deadlines go first.
-constexpr std::size_t kManagersAskedInLargeFleet = 16;
+constexpr std::size_t kMaxManagersAskedInLargeFleet = 16;
 /// Runs are moved away from an engine that has sent nothing on any of its calls for this long.
-constexpr Duration kEngineSilence = 1s;
+constexpr Duration kEngineSilenceLimit = 1s;
 constexpr Duration kOwnershipInterval = 250ms;
-constexpr Duration kAskSoon = 20ms;
-constexpr Duration kAskBusy = 200ms;  ///< Longest interval while some manager is known to have items.
-constexpr Duration kAskSeldom = 4s;   ///< Longest interval while no manager is known to have items.
-constexpr unsigned kMaxFailures = 20;
-constexpr Duration kReportUseful = 400ms;  ///< An engine's load report counts for this long.
+constexpr Duration kMinAskInterval = 20ms;
+constexpr Duration kMaxAskIntervalBusy = 200ms;  ///< Longest interval while some manager is known to have items.
+constexpr Duration kMaxAskIntervalIdle = 4s;     ///< Longest interval while no manager is known to have items.
+constexpr unsigned kMaxItemFailures = 20;
+constexpr Duration kReportMaxAge = 400ms;  ///< An engine's load report counts for this long.
 /// Lower bound of the time to yield, used until one was observed: messages and one step of the engine.
-constexpr Duration kLeastTimeToYield = 10ms;
+constexpr Duration kMinTimeToYield = 10ms;
 /// The same where calls are not reported, so that no gateway can observe why a live call waits.
-constexpr Duration kUnobservedTimeToYield = 50ms;
+constexpr Duration kMinTimeToYieldUnobserved = 50ms;
 /// One item in this many running ones is kept queued beyond the free slots, so that a slot that becomes free need not
 /// wait for a request to a manager and its answer.
-constexpr std::size_t kReadyPart = 4;
-constexpr Duration kAnswerUseful = 5s;  ///< Answers to older requests for items are not used.
+constexpr std::size_t kReadyItemsDivisor = 4;
+constexpr Duration kRequestMaxAge = 5s;  ///< Answers to older requests for items are not used.
 /// Interval at which held items are confirmed. A manager's item lease lasts three intervals (kItemLease in
 /// job_manager.cpp).
-constexpr Duration kConfirmHeld = 1s;
+constexpr Duration kConfirmHeldInterval = 1s;
 /// An item that engines terminated under is not run for this long; then its manager hands it out for one more attempt.
-constexpr Duration kWithheld = 30s;
+constexpr Duration kWithholdTime = 30s;
 /// The next dispatcher must know of the engine's termination before it gets the item; that message takes 1 to 5 ms.
-constexpr Duration kNewsTime = 10ms;
-constexpr Duration kRouteMissing = 5s;  ///< Longer than a configuration change takes to reach all nodes.
+constexpr Duration kBreakNewsDelay = 10ms;
+constexpr Duration kRouteMissingLimit = 5s;  ///< Longer than a configuration change takes to reach all nodes.
 
 std::string_view error_name(const Result<ledger::OptionalValue>& result) {
   return error_kind_name(error_of(result).kind);
@@ -87,33 +87,36 @@
 void Dispatcher::tick() {
   environment_.after(is_idle() ? kIdleTick : kTick, lifetime_.guard([this] { tick(); }));
   if (!draining_) {
-    follow_managers();
-    return_withheld();
-    leave_silent_engines();
-    leave_lost_engines();
-    fill();
+    update_managers();
+    return_withheld_items();
+    requeue_from_unresponsive_engines();
+    requeue_from_lost_engines();
+    fill_engines();
   }
-  confirm_held();
+  confirm_held_items();
   counters_["batch_items_running"] = static_cast<CounterValue>(running_.size());
   counters_["batch_items_queued"] = static_cast<CounterValue>(queue_.size());
 }
 
-bool Dispatcher::is_idle() const { return owned_.empty() && queue_.empty() && withheld_.empty() && active() == 0; }
+bool Dispatcher::is_idle() const {
+  return owned_engines_.empty() && queue_.empty() && withheld_.empty() && active() == 0;
+}
 
 void Dispatcher::refresh_ownership() {
   const bool unchanged =
-      owned_at_members_version_ == members_.version() && owned_at_registry_version_ == registry_.version();
+      ownership_members_version_ == members_.version() && ownership_registry_version_ == registry_.version();
   // Limits how often the ranking is computed when the membership changes many times in a row.
-  const bool too_soon = owned_at_.count() != 0 && environment_.now() - owned_at_ < kOwnershipInterval;
+  const bool too_soon =
+      ownership_refreshed_at_.count() != 0 && environment_.now() - ownership_refreshed_at_ < kOwnershipInterval;
   if (unchanged || too_soon) {
     return;
   }
-  owned_at_ = environment_.now();
-  owned_at_members_version_ = members_.version();
-  owned_at_registry_version_ = registry_.version();
-  owned_.clear();
+  ownership_refreshed_at_ = environment_.now();
+  ownership_members_version_ = members_.version();
+  ownership_registry_version_ = registry_.version();
+  owned_engines_.clear();
   if (registry_.backends().size() > routing::kMostBackendsBeforeFleet && !members_.knows_fleet()) {
-    owned_at_registry_version_ = 0;  // forces another refresh
+    ownership_registry_version_ = 0;  // forces another refresh
     return;
   }
   if (!duties_.dispatches()) {
@@ -125,7 +128,7 @@
     }
     const wire::MemberT* owner = duties_.dispatcher_of(id.str(), backend.machine.zone);
     if (owner != nullptr && owner->id == members_.self().id) {
-      owned_.insert(id);
+      owned_engines_.insert(id);
     }
   }
 }
@@ -134,7 +137,7 @@
 
 const std::set<BackendId>& Dispatcher::owned() {
   refresh_ownership();
-  return owned_;
+  return owned_engines_;
 }
 
 std::vector<BackendId> Dispatcher::worth_asking(std::uint64_t round) {
@@ -147,7 +150,7 @@
                                                [](const auto& gateway) { return gateway.second.in_flight > 0; });
     const bool batch = known != engines_.end() && known->second.running > 0;
     const bool others = backend != nullptr && registry_.unexplained(*backend) > 0;
-    if (live || batch || others || (stable_hash(id.str()) + round) % kIdleRounds == 0) {
+    if (live || batch || others || (stable_hash(id.str()) + round) % kIdlePollRounds == 0) {
       found.push_back(id);
     }
   }
@@ -157,7 +160,7 @@
 std::vector<routing::Backend*> Dispatcher::open_owned_engines() {
   refresh_ownership();
   std::vector<routing::Backend*> open;
-  for (const BackendId& id : owned_) {
+  for (const BackendId& id : owned_engines_) {
     routing::Backend* backend = registry_.find(id);
     if (backend != nullptr && registry_.open(*backend)) {
       open.push_back(backend);
@@ -166,16 +169,16 @@
   return open;
 }
 
-std::uint32_t Dispatcher::online_on(const routing::Backend& backend, Engine& engine) const {
+std::uint32_t Dispatcher::online_calls_on(const routing::Backend& backend, Engine& engine) const {
   std::uint32_t total = 0;
   for (const auto& [gateway, activity] : engine.gateways) {
-    const bool heard = environment_.now() - activity.heard_at < kActivityHolds;
+    const bool heard = environment_.now() - activity.heard_at < kActivityMaxAge;
     total += heard ? activity.in_flight : 0;
   }
   if (registry_.knows_calls()) {
     return total + registry_.unexplained(backend);
   }
-  const bool fresh = backend.reported_at.count() != 0 && environment_.now() - backend.reported_at < kReportUseful;
+  const bool fresh = backend.reported_at.count() != 0 && environment_.now() - backend.reported_at < kReportMaxAge;
   if (!fresh) {
     return total;
   }
@@ -195,25 +198,25 @@
     return catalog_.policy().batch_headroom_slots;
   }
   const Duration observed = policies_.time_to_yield ? policies_.time_to_yield() : Duration::zero();
-  const Duration least = registry_.knows_calls() ? kLeastTimeToYield : kUnobservedTimeToYield;
+  const Duration least = registry_.knows_calls() ? kMinTimeToYield : kMinTimeToYieldUnobserved;
   const Timestamp now = environment_.now();
   double rate = engine.live.per_second(now);
-  if (policies_.set.headroom_for_peaks && !owned_.empty()) {
+  if (policies_.set.headroom_for_peaks && !owned_engines_.empty()) {
     // The peak is measured over all engines of this node: at a single engine a few calls that coincide by chance would
     // look like a burst.
-    rate = std::max(rate, live_.peak_per_second(now) / static_cast<double>(owned_.size()));
+    rate = std::max(rate, live_call_rate_.peak_per_second(now) / static_cast<double>(owned_engines_.size()));
   }
   return policies_.set.headroom->free_slots({rate, std::max(observed, least), backend.machine.slots});
 }
 
-std::size_t Dispatcher::room_on(const routing::Backend& backend, Engine& engine) const {
+std::size_t Dispatcher::free_slots_on(const routing::Backend& backend, Engine& engine) const {
   const std::size_t headroom = headroom_of(backend, engine);
-  const std::size_t online = guards_.keep_headroom ? online_on(backend, engine) : 0;
+  const std::size_t online = guards_.keep_headroom ? online_calls_on(backend, engine) : 0;
   const std::size_t taken = headroom + online + engine.running;
   return taken >= backend.machine.slots ? 0 : backend.machine.slots - taken;
 }
 
-policy::item_outlook Dispatcher::outlook_of(const Queued& work) const {
+policy::item_outlook Dispatcher::outlook_of(const QueuedItem& work) const {
   const std::uint64_t now_ms = environment_.unix_milliseconds();
   const auto left_ms = static_cast<std::int64_t>(work.item.deadline_ms) - static_cast<std::int64_t>(now_ms);
   policy::item_outlook outlook;
@@ -224,9 +227,9 @@
 }
 
 void Dispatcher::sort_queue() {
-  std::vector<std::pair<policy::item_outlook, Queued>> waiting;
+  std::vector<std::pair<policy::item_outlook, QueuedItem>> waiting;
   waiting.reserve(queue_.size());
-  for (Queued& work : queue_) {
+  for (QueuedItem& work : queue_) {
     waiting.emplace_back(outlook_of(work), std::move(work));
   }
   std::stable_sort(waiting.begin(), waiting.end(), [this](const auto& left, const auto& right) {
@@ -238,7 +241,7 @@
   }
 }
 
-void Dispatcher::fill() {
+void Dispatcher::fill_engines() {
   std::size_t free_slots = 0;
   if (queue_.size() > 1) {
     sort_queue();
@@ -249,13 +252,13 @@
         registry_.warm_up_limit(*backend)) {
       continue;
     }
-    std::size_t room = room_on(*backend, engine);
+    std::size_t room = free_slots_on(*backend, engine);
     for (std::size_t position = 0; room > 0 && position < queue_.size();) {
-      if (!fits(queue_[position], *backend) || meets_suspect(queue_[position], backend->machine.id)) {
+      if (!can_run_on(queue_[position], *backend) || conflicts_with_suspect(queue_[position], backend->machine.id)) {
         ++position;
         continue;
       }
-      Queued work = std::move(queue_[position]);
+      QueuedItem work = std::move(queue_[position]);
       queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(position));
       if (guards_.respect_leases && environment_.now() >= work.start_before) {
         counters_["batch_items_lease_lapsed_total"]++;
@@ -268,8 +271,8 @@
     free_slots += room;
   }
   // Items that no owned engine can run are returned when their lease expires.
-  std::erase_if(queue_, [this](Queued& work) {
-    if (route_lost(work)) {
+  std::erase_if(queue_, [this](QueuedItem& work) {
+    if (route_missing_too_long(work)) {
       work.item.partial = "the item's route is gone";
       write_result(std::move(work), true);
       return true;
@@ -280,19 +283,19 @@
     }
     return lapsed;
   });
-  const std::size_t wanted = free_slots + (free_slots + running_.size()) / kReadyPart;
-  give_back_surplus(wanted);
+  const std::size_t wanted = free_slots + (free_slots + running_.size()) / kReadyItemsDivisor;
+  return_surplus_items(wanted);
   if (wanted > queue_.size()) {
     request_items(wanted - queue_.size());
   }
 }
 
-const forwarding::Route* Dispatcher::route_of(const Queued& work) const {
+const forwarding::Route* Dispatcher::route_of(const QueuedItem& work) const {
   const forwarding::RouteTablePointer& routes = catalog_.routes();
   return routes == nullptr ? nullptr : routes->match(work.http->host, work.http->target);
 }
 
-bool Dispatcher::fits(const Queued& work, const routing::Backend& backend) const {
+bool Dispatcher::can_run_on(const QueuedItem& work, const routing::Backend& backend) const {
   const auto& pools = backend.machine.pools;
   const auto offers = [&pools](const std::string& pool) {
     return std::find(pools.begin(), pools.end(), pool) != pools.end();
@@ -306,7 +309,7 @@
   return kind != nullptr && offers(kind->pool);
 }
 
-bool Dispatcher::route_lost(const Queued& work) {
+bool Dispatcher::route_missing_too_long(const QueuedItem& work) {
   if (!work.http || !catalog_.routes()) {
     return false;
   }
@@ -315,7 +318,7 @@
     return false;
   }
   const auto [since, first] = route_missing_since_.try_emplace(work.item.job, environment_.now());
-  return environment_.now() - since->second > kRouteMissing;
+  return environment_.now() - since->second > kRouteMissingLimit;
 }
 
 std::vector<PeerAddress> Dispatcher::managers_to_ask() {
@@ -324,7 +327,7 @@
     // No manager is known to have items, but a notice may have been lost.
     candidates = duties_.managers();
   }
-  const std::size_t most = duties_.divided() ? kManagersAskedInLargeFleet : kManagersAsked;
+  const std::size_t most = duties_.divided() ? kMaxManagersAskedInLargeFleet : kMaxManagersAsked;
   while (candidates.size() > most) {
     candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(environment_.random() % candidates.size()));
   }
@@ -332,13 +335,14 @@
 }
 
 void Dispatcher::request_items(std::size_t free_slots) {
-  if (environment_.now() < ask_after_) {
+  if (environment_.now() < next_request_at_) {
     return;
   }
-  ask_interval_ = std::clamp(ask_interval_ * 2, kAskSoon, busy_managers_.empty() ? kAskSeldom : kAskBusy);
-  ask_after_ = environment_.now() + ask_interval_;
+  ask_interval_ = std::clamp(ask_interval_ * 2, kMinAskInterval,
+                             busy_managers_.empty() ? kMaxAskIntervalIdle : kMaxAskIntervalBusy);
+  next_request_at_ = environment_.now() + ask_interval_;
   std::erase_if(requests_,
-                [this](const auto& entry) { return environment_.now() - entry.second.asked_at > kAnswerUseful; });
+                [this](const auto& entry) { return environment_.now() - entry.second.asked_at > kRequestMaxAge; });
   requests_[++next_request_] = Request{environment_.now(), {}};
   const std::vector<PeerAddress> managers = managers_to_ask();
   const std::size_t share = (free_slots + managers.size() - 1) / std::max<std::size_t>(1, managers.size());
@@ -361,7 +365,7 @@
       ++repeated;
       continue;
     }
-    Queued work;
+    QueuedItem work;
     work.item = *item;
     work.manager = sender;
     if (!item->host.empty()) {
@@ -382,16 +386,16 @@
   if (usable) {
     busy_managers_.insert(sender);
     ask_interval_ = Duration::zero();
-    ask_after_ = Timestamp{};
+    next_request_at_ = Timestamp{};
   } else {
     busy_managers_.erase(sender);
   }
   if (!draining_) {
-    fill();
+    fill_engines();
   }
 }
 
-Result<routing::EngineCall> Dispatcher::call_of(const Queued& work) const {
+Result<routing::EngineCall> Dispatcher::call_of(const QueuedItem& work) const {
   routing::EngineCall call;
   call.http = work.http;
   if (!work.http) {
@@ -412,28 +416,29 @@
   return call;
 }
 
-bool Dispatcher::held_back(Queued& work) {
-  if (repeats_ == nullptr || !repeats_->remembers_any() || repeats_->allows_retrial(fingerprint_of(work))) {
+bool Dispatcher::must_withhold(QueuedItem& work) {
+  if (repeat_guard_ == nullptr || !repeat_guard_->remembers_any() ||
+      repeat_guard_->allows_retrial(fingerprint_of(work))) {
     return false;
   }
-  const bool undecided = repeats_->undecided_for(fingerprint_of(work)) > Duration::zero();
-  return undecided || repeats_->holds_back(fingerprint_of(work), name_of(work));
+  const bool undecided = repeat_guard_->undecided_for(fingerprint_of(work)) > Duration::zero();
+  return undecided || repeat_guard_->holds_back(fingerprint_of(work), item_id_of(work));
 }
 
-void Dispatcher::withhold(Queued work) {
+void Dispatcher::withhold(QueuedItem work) {
   counters_["batch_items_withheld_total"]++;
-  if (work.item.give_up_at_ms == 0 && repeats_->beyond_doubt(fingerprint_of(work))) {
+  if (work.item.give_up_at_ms == 0 && repeat_guard_->beyond_doubt(fingerprint_of(work))) {
     work.item.partial = "engines ended each time they ran this item";
     write_result(std::move(work), true);
     return;
   }
-  const Duration undecided = repeats_->undecided_for(fingerprint_of(work));
-  const Duration wait = undecided > Duration::zero() ? undecided : kWithheld;
+  const Duration undecided = repeat_guard_->undecided_for(fingerprint_of(work));
+  const Duration wait = undecided > Duration::zero() ? undecided : kWithholdTime;
   withheld_.push_back({std::move(work), environment_.now() + wait});
 }
 
-void Dispatcher::return_withheld() {
-  std::erase_if(withheld_, [this](const Withheld& one) {
+void Dispatcher::return_withheld_items() {
+  std::erase_if(withheld_, [this](const WithheldItem& one) {
     const bool over = environment_.now() >= one.until;
     if (over) {
       report(one.work, false);
@@ -442,7 +447,7 @@
   });
 }
 
-const routing::request_fingerprint& Dispatcher::fingerprint_of(Queued& work) const {
+const routing::request_fingerprint& Dispatcher::fingerprint_of(QueuedItem& work) const {
   if (!work.fingerprint) {
     const Result<routing::EngineCall> call = call_of(work);
     // An item that cannot be parsed is never run, so that its fingerprint does not matter.
@@ -451,33 +456,33 @@
   return *work.fingerprint;
 }
 
-bool Dispatcher::suspected(Queued& work) const { return repeats_->suspects(fingerprint_of(work)); }
+bool Dispatcher::is_suspected(QueuedItem& work) const { return repeat_guard_->suspects(fingerprint_of(work)); }
 
-bool Dispatcher::meets_suspect(Queued& work, const BackendId& engine) {
-  if (repeats_ == nullptr || !repeats_->remembers_any() || !suspected(work)) {
+bool Dispatcher::conflicts_with_suspect(QueuedItem& work, const BackendId& engine) {
+  if (repeat_guard_ == nullptr || !repeat_guard_->remembers_any() || !is_suspected(work)) {
     return false;
   }
   return std::any_of(running_.begin(), running_.end(), [this, &engine](auto& entry) {
-    return entry.second.engine == engine && suspected(entry.second.work);
+    return entry.second.engine == engine && is_suspected(entry.second.work);
   });
 }
 
-void Dispatcher::report_break(Running run) {
+void Dispatcher::return_after_break(RunningItem run) {
   const RunId id = ++next_run_;
-  Queued work = std::move(run.work);
+  QueuedItem work = std::move(run.work);
   settling_[id] = {work.item.job, work.item.index, work.manager};
   const Timestamp now = environment_.now();
-  const routing::broken_call broken{fingerprint_of(work), name_of(work), run.engine,
+  const routing::broken_call broken{fingerprint_of(work), item_id_of(work), run.engine,
                                     now - run.first_event_at.value_or(now)};
-  repeats_->call_broke(broken, lifetime_.guard([this, work, id](bool) {
-    environment_.after(kNewsTime, lifetime_.guard([this, work, id] {
+  repeat_guard_->call_broke(broken, lifetime_.guard([this, work, id](bool) {
+    environment_.after(kBreakNewsDelay, lifetime_.guard([this, work, id] {
       settling_.erase(id);
       report(work, false);
     }));
   }));
 }
 
-void Dispatcher::start_item(Queued work, routing::Backend& backend) {
+void Dispatcher::start_item(QueuedItem work, routing::Backend& backend) {
   const RunId id = ++next_run_;
   Result<routing::EngineCall> built = call_of(work);
   if (!succeeded(built)) {
@@ -487,27 +492,27 @@
   }
   routing::EngineCall& call = value_of(built);
   call.attempt = environment_.random();
-  if (held_back(work)) {
+  if (must_withhold(work)) {
     withhold(std::move(work));
     return;
   }
   if (on_start) {
     on_start(JobId(work.item.job), work.item.index);
   }
-  Running running;
+  RunningItem running;
   running.work = std::move(work);
   running.engine = backend.machine.id;
   running.started = id;
   running.started_at = environment_.now();
-  running.first_event = running.work.item.partial_tokens;
+  running.resumed_from = running.work.item.partial_tokens;
   Engine& engine = engines_[running.engine];
-  set_running(running.engine, +1);
+  change_running(running.engine, +1);
   log_.record("item_started", {{"job", running.work.item.job},
                                {"index", running.work.item.index},
-                               {"item", name_of(running.work)},
+                               {"item", item_id_of(running.work)},
                                {"backend", running.engine.str()},
                                {"batch_running", engine.running},
-                               {"live", online_on(backend, engine)},
+                               {"live", online_calls_on(backend, engine)},
                                {"report_age_ms", (environment_.now() - backend.reported_at) / 1ms},
                                {"list_age_ms", registry_.list_age_ms()},
                                {"unlisted", backend.unlisted.has_value()},
@@ -523,14 +528,14 @@
   running_.at(id).call = client_.start(backend.machine.id, call, std::move(events));
 }
 
-Dispatcher::Running Dispatcher::take_running(RunId id) {
+Dispatcher::RunningItem Dispatcher::take_running(RunId id) {
   auto node = running_.extract(id);
   registry_.on_ended(node.mapped().engine, node.mapped().life);
-  set_running(node.mapped().engine, -1);
+  change_running(node.mapped().engine, -1);
   return std::move(node.mapped());
 }
 
-void Dispatcher::set_running(const BackendId& id, std::ptrdiff_t change) {
+void Dispatcher::change_running(const BackendId& id, std::ptrdiff_t change) {
   Engine& engine = engines_[id];
   engine.running += static_cast<std::size_t>(change);
   if (routing::Backend* backend = registry_.find(id)) {
@@ -571,17 +576,17 @@
     on_failed(id, routing::CallFailure::broken);
     return;
   }
-  Running running = take_running(id);
+  RunningItem running = take_running(id);
   registry_.on_success(running.engine);
-  if (repeats_ != nullptr && repeats_->remembers_any()) {
-    repeats_->call_answered(fingerprint_of(running.work));
+  if (repeat_guard_ != nullptr && repeat_guard_->remembers_any()) {
+    repeat_guard_->call_answered(fingerprint_of(running.work));
   }
   policies_.estimate->learn(
       running.work.item.template_name,
-      {running.work.item.tokens, total, total - running.first_event, environment_.now() - running.started_at});
+      {running.work.item.tokens, total, total - running.resumed_from, environment_.now() - running.started_at});
   write_result(std::move(running.work), false);
   if (!draining_) {
-    fill();
+    fill_engines();
   }
 }
 
@@ -589,49 +594,49 @@
   if (!running_.contains(id)) {
     return;
   }
-  Running running = take_running(id);
+  RunningItem running = take_running(id);
   if (registry_.lives_on(running.engine, running.life)) {
     registry_.on_failure(running.engine, failure);
   }
   counters_["batch_item_failures_total"]++;
-  Queued& work = running.work;
+  QueuedItem& work = running.work;
   ++work.failures;
   work.item.failed_runs += failure == routing::CallFailure::failed_run ? 1 : 0;
   log_.record("item_run_failed", {{"job", work.item.job},
                                   {"index", work.item.index},
-                                  {"item", name_of(work)},
+                                  {"item", item_id_of(work)},
                                   {"backend", running.engine.str()},
                                   {"failure", routing::failure_name(failure)},
                                   {"failed_runs", work.item.failed_runs},
                                   {"events", work.item.partial_tokens}});
-  if (failed_for_good(work, failure)) {
+  if (failed_permanently(work, failure)) {
     work.item.partial = "the engine rejects the item";
     write_result(std::move(work), true);
     return;
   }
   if (failure == routing::CallFailure::refused) {
-    engines_[running.engine].resume_after = environment_.now() + kQuietAfterYield;
+    engines_[running.engine].resume_after = environment_.now() + kPauseAfterYield;
   }
-  if (repeats_ != nullptr && failure == routing::CallFailure::broken) {
-    report_break(std::move(running));
+  if (repeat_guard_ != nullptr && failure == routing::CallFailure::broken) {
+    return_after_break(std::move(running));
     return;
   }
   report(work, false);
 }
 
-bool Dispatcher::failed_for_good(const Queued& work, routing::CallFailure failure) const {
+bool Dispatcher::failed_permanently(const QueuedItem& work, routing::CallFailure failure) const {
   if (failure == routing::CallFailure::invalid) {
     return true;
   }
   if (!work.http) {
-    return work.failures >= kMaxFailures;
+    return work.failures >= kMaxItemFailures;
   }
   const forwarding::Route* route = route_of(work);
   return route != nullptr && failure == routing::CallFailure::failed_run &&
          work.item.failed_runs >= route->max_attempts;
 }
 
-void Dispatcher::write_result(Queued work, bool failed) {
+void Dispatcher::write_result(QueuedItem work, bool failed) {
   wire::ResultRecordT record;
   record.index = work.item.index;
   record.failed = failed;
@@ -650,19 +655,19 @@
                    settling_.erase(id);
                    log_.record("item_result", {{"job", work.item.job},
                                                {"index", work.item.index},
-                                               {"item", name_of(work)},
+                                               {"item", item_id_of(work)},
                                                {"outcome", succeeded(result) ? "written" : error_name(result)}});
                    counters_[succeeded(result) ? "batch_results_written_total" : "batch_results_not_written_total"]++;
                    report(work, succeeded(result));
                  }));
 }
 
-const std::string& Dispatcher::name_of(const Queued& work) {
+const std::string& Dispatcher::item_id_of(const QueuedItem& work) {
   static const std::string none;
   return work.http ? work.http->id : none;
 }
 
-wire::ItemSettledT Dispatcher::settlement_of(const Queued& work) const {
+wire::ItemSettledT Dispatcher::settled_message_of(const QueuedItem& work) const {
   wire::ItemSettledT message;
   message.job = work.item.job;
   message.index = work.item.index;
@@ -674,13 +679,13 @@
   return message;
 }
 
-PeerAddress Dispatcher::manager_of(const Queued& work) const {
+PeerAddress Dispatcher::manager_of(const QueuedItem& work) const {
   const wire::MemberT* manager = duties_.manager_of(work.item.job);
   return manager == nullptr ? work.manager : PeerAddress(manager->peer_address);
 }
 
-void Dispatcher::report(const Queued& work, bool completed) {
-  wire::ItemSettledT message = settlement_of(work);
+void Dispatcher::report(const QueuedItem& work, bool completed) {
+  wire::ItemSettledT message = settled_message_of(work);
   message.completed = completed;
   if (completed) {
     message.partial.clear();
@@ -693,8 +698,8 @@
   send_message(environment_, manager, std::move(message));
 }
 
-void Dispatcher::confirm_held() {
-  if (environment_.now() - confirmed_at_ < kConfirmHeld) {
+void Dispatcher::confirm_held_items() {
+  if (environment_.now() - confirmed_at_ < kConfirmHeldInterval) {
     return;
   }
   confirmed_at_ = environment_.now();
@@ -706,7 +711,7 @@
       held[PeerAddress(present->peer_address)][job].push_back(index);
     }
   };
-  for (const Queued& work : queue_) {
+  for (const QueuedItem& work : queue_) {
     add(work.item.job, work.item.index, work.manager);
   }
   for (const auto& [id, run] : running_) {
@@ -715,7 +720,7 @@
   for (const auto& [id, one] : settling_) {
     add(one.job, one.index, one.manager);
   }
-  for (const Withheld& one : withheld_) {
+  for (const WithheldItem& one : withheld_) {
     add(one.work.item.job, one.work.item.index, one.work.manager);
   }
   for (auto& [manager, jobs] : held) {
@@ -730,26 +735,26 @@
   }
 }
 
-void Dispatcher::claim(const Queued& work) {
-  wire::ItemSettledT message = settlement_of(work);
+void Dispatcher::report_held(const QueuedItem& work) {
+  wire::ItemSettledT message = settled_message_of(work);
   message.held = true;
   send_message(environment_, work.manager, std::move(message));
   counters_["batch_items_claimed_total"]++;
 }
 
-void Dispatcher::follow_managers() {
-  if (followed_members_version_ == members_.version()) {
+void Dispatcher::update_managers() {
+  if (managers_members_version_ == members_.version()) {
     return;
   }
-  followed_members_version_ = members_.version();
+  managers_members_version_ = members_.version();
   for (auto& [id, running] : running_) {
     PeerAddress manager = manager_of(running.work);
     if (manager != running.work.manager) {
       running.work.manager = std::move(manager);
-      claim(running.work);
+      report_held(running.work);
     }
   }
-  std::erase_if(queue_, [this](const Queued& work) {
+  std::erase_if(queue_, [this](const QueuedItem& work) {
     const bool moved = manager_of(work) != work.manager;
     if (moved) {
       report(work, false);
@@ -758,9 +763,9 @@
   });
 }
 
-void Dispatcher::give_back_surplus(std::size_t wanted) {
-  constexpr std::size_t kLeastKept = 2;
-  const std::size_t kept = std::max(kLeastKept, 2 * wanted);
+void Dispatcher::return_surplus_items(std::size_t wanted) {
+  constexpr std::size_t kMinKeptItems = 2;
+  const std::size_t kept = std::max(kMinKeptItems, 2 * wanted);
   while (queue_.size() > kept) {
     report(queue_.back(), false);
     queue_.pop_back();
@@ -770,14 +775,14 @@
 void Dispatcher::handle(const wire::OnlineActivityT& message) {
   const BackendId id(message.engine);
   Engine& engine = engines_[id];
-  Activity& activity = engine.gateways[message.gateway];
+  GatewayActivity& activity = engine.gateways[message.gateway];
   if (!activity.latest.take(message.number)) {
     return;  // a later message arrived first
   }
   if (message.in_flight > activity.in_flight) {
     const std::uint32_t begun = message.in_flight - activity.in_flight;
     engine.live.count(environment_.now(), begun);
-    live_.count(environment_.now(), begun);
+    live_call_rate_.count(environment_.now(), begun);
   }
   activity.in_flight = message.in_flight;
   activity.heard_at = environment_.now();
@@ -792,7 +797,7 @@
     return;
   }
   Engine& engine = engines_[id];
-  const std::size_t online = online_on(*backend, engine);
+  const std::size_t online = online_calls_on(*backend, engine);
   const std::size_t allowed = backend->machine.slots > online ? backend->machine.slots - online : 0;
   while (engine.running > allowed) {
     auto youngest = running_.end();
@@ -805,57 +810,58 @@
     if (youngest == running_.end()) {
       return;
     }
-    put_back(youngest, online);
+    requeue(youngest, online);
     counters_["batch_items_yielded_total"]++;
-    engine.resume_after = environment_.now() + kQuietAfterYield;
+    engine.resume_after = environment_.now() + kPauseAfterYield;
   }
 }
 
-void Dispatcher::leave_silent_engines() {
+void Dispatcher::requeue_from_unresponsive_engines() {
   const Timestamp now = environment_.now();
   for (auto entry = running_.begin(); entry != running_.end();) {
     const auto run = entry++;
     const routing::Backend* backend = registry_.find(run->second.engine);
-    const bool silent = backend != nullptr && backend->open_calls > 0 && now - backend->quiet_since > kEngineSilence;
+    const bool silent =
+        backend != nullptr && backend->open_calls > 0 && now - backend->quiet_since > kEngineSilenceLimit;
     // A run that has just started may still be waiting for its first event.
-    if (!silent || now - run->second.started_at < kEngineSilence) {
+    if (!silent || now - run->second.started_at < kEngineSilenceLimit) {
       continue;
     }
-    engines_[run->second.engine].resume_after = now + kEngineSilence;
+    engines_[run->second.engine].resume_after = now + kEngineSilenceLimit;
     counters_["batch_items_left_silent_engines_total"]++;
-    put_back(run, 0);
+    requeue(run, 0);
   }
 }
 
 /// Live calls are reported only to the current owner of an engine, so runs of another node would never yield to them.
-void Dispatcher::leave_lost_engines() {
+void Dispatcher::requeue_from_lost_engines() {
   refresh_ownership();
-  if (left_at_ownership_ == owned_at_) {
+  if (requeued_for_ownership_at_ == ownership_refreshed_at_) {
     return;
   }
-  left_at_ownership_ = owned_at_;
+  requeued_for_ownership_at_ = ownership_refreshed_at_;
   for (auto entry = running_.begin(); entry != running_.end();) {
     const auto run = entry++;
     const bool listed = registry_.find(run->second.engine) != nullptr;
-    if (listed && !owned_.contains(run->second.engine)) {
+    if (listed && !owned_engines_.contains(run->second.engine)) {
       counters_["batch_items_left_lost_engines_total"]++;
-      put_back(run, 0);
+      requeue(run, 0);
     }
   }
 }
 
-void Dispatcher::put_back(std::map<RunId, Running>::iterator run, std::uint32_t live) {
+void Dispatcher::requeue(std::map<RunId, RunningItem>::iterator run, std::uint32_t live) {
   client_.cancel(run->second.call);
-  Running running = take_running(run->first);
+  RunningItem running = take_running(run->first);
   log_.record("item_yielded", {{"job", running.work.item.job},
                                {"index", running.work.item.index},
-                               {"item", name_of(running.work)},
+                               {"item", item_id_of(running.work)},
                                {"backend", running.engine.str()},
                                {"live", live},
                                {"batch_running", engines_[running.engine].running},
                                {"events", running.work.item.partial_tokens}});
   const policy::item_outlook outlook = outlook_of(running.work);
-  const auto later = std::find_if(queue_.begin(), queue_.end(), [&](const Queued& waiting) {
+  const auto later = std::find_if(queue_.begin(), queue_.end(), [&](const QueuedItem& waiting) {
     return !policies_.set.order->before(outlook_of(waiting), outlook);
   });
   queue_.insert(later, std::move(running.work));
@@ -867,14 +873,14 @@
       busy_managers_.insert(PeerAddress(message.manager));
     }
     ask_interval_ = Duration::zero();
-    ask_after_ = Timestamp{};
+    next_request_at_ = Timestamp{};
     return;
   }
   if (!guards_.stop_cancelled) {
     return;
   }
-  std::erase_if(queue_, [&](const Queued& work) { return work.item.job == message.job; });
-  std::erase_if(withheld_, [&](const Withheld& one) { return one.work.item.job == message.job; });
+  std::erase_if(queue_, [&](const QueuedItem& work) { return work.item.job == message.job; });
+  std::erase_if(withheld_, [&](const WithheldItem& one) { return one.work.item.job == message.job; });
   std::vector<RunId> stopped;
   for (const auto& [id, running] : running_) {
     if (running.work.item.job == message.job) {
@@ -890,11 +896,11 @@
 
 void Dispatcher::drain() {
   draining_ = true;
-  for (const Queued& work : queue_) {
+  for (const QueuedItem& work : queue_) {
     report(work, false);
   }
   queue_.clear();
-  for (const Withheld& one : withheld_) {
+  for (const WithheldItem& one : withheld_) {
     report(one.work, false);
   }
   withheld_.clear();
--- a/src/batch/dispatcher.hpp
+++ b/src/batch/dispatcher.hpp
@@ -61,16 +61,16 @@
   void handle(const wire::JobNoticeT& message);
   /// Sets the guard that keeps an item from being run again after engines terminated while running it.
   /// @p guard must outlive this object.
-  void use_repeat_guard(routing::repeat_guard& guard) { repeats_ = &guard; }
+  void use_repeat_guard(routing::repeat_guard& guard) { repeat_guard_ = &guard; }
   /// @return whether this node dispatches the batch items of @p engine.
   bool owns(const BackendId& engine);
   /// @return the engines whose batch items this node dispatches.
   const std::set<BackendId>& owned();
   /// @return the engines to poll for their load in this round: those of owned() that are known to have calls, and one
-  /// in kIdleRounds of the others, each in its turn.
+  /// in kIdlePollRounds of the others, each in its turn.
   /// @param round number of the polling round.
   std::vector<BackendId> worth_asking(std::uint64_t round);
-  static constexpr std::uint64_t kIdleRounds = 10;
+  static constexpr std::uint64_t kIdlePollRounds = 10;
   /// Called when this node is leaving: takes no new items and returns the running ones to their managers.
   void drain();
   std::size_t active() const { return running_.size() + settling_.size(); }
@@ -80,7 +80,7 @@
 
  private:
   using RunId = std::uint64_t;
-  struct Queued {
+  struct QueuedItem {
     wire::WorkItemT item;
     PeerAddress manager;
     Timestamp start_before{};
@@ -89,32 +89,32 @@
     std::optional<routing::request_fingerprint> fingerprint;  ///< Computed on first use.
   };
   /// Identifies an item that this node holds, for the message that confirms it to its manager.
-  struct Held {
+  struct HeldItem {
     std::string job;
     std::uint32_t index = 0;
     PeerAddress manager;
   };
-  struct Withheld {
-    Queued work;
+  struct WithheldItem {
+    QueuedItem work;
     Timestamp until{};
   };
-  struct Running {
-    Queued work;
+  struct RunningItem {
+    QueuedItem work;
     BackendId engine;
     std::uint64_t life = 0;  ///< Lifetime number of the engine when the run was sent to it.
     routing::CallId call = 0;
     std::uint64_t started = 0;  ///< Sequence number of the start; the latest start yields first.
     Timestamp started_at{};
-    std::uint32_t first_event = 0;  ///< Number of events that earlier runs produced.
+    std::uint32_t resumed_from = 0;  ///< Number of events that earlier runs produced.
     std::optional<Timestamp> first_event_at;
   };
-  struct Activity {
+  struct GatewayActivity {
     std::uint32_t in_flight = 0;
     Timestamp heard_at{};
     latest_word latest;
   };
   struct Engine {
-    std::map<std::string, Activity> gateways;
+    std::map<std::string, GatewayActivity> gateways;
     std::size_t running = 0;
     Timestamp resume_after{};
     policy::rate_meter live;  ///< Rate at which live calls start.
@@ -122,68 +122,68 @@
 
   void tick();
   bool is_idle() const;
-  void fill();
+  void fill_engines();
   void request_items(std::size_t free_slots);
-  std::uint32_t online_on(const routing::Backend& backend, Engine& engine) const;
+  std::uint32_t online_calls_on(const routing::Backend& backend, Engine& engine) const;
   std::size_t headroom_of(const routing::Backend& backend, const Engine& engine) const;
-  std::size_t room_on(const routing::Backend& backend, Engine& engine) const;
+  std::size_t free_slots_on(const routing::Backend& backend, Engine& engine) const;
   std::vector<routing::Backend*> open_owned_engines();
   void refresh_ownership();
   std::vector<PeerAddress> managers_to_ask();
   void yield_on(const BackendId& id);
-  policy::item_outlook outlook_of(const Queued& work) const;
+  policy::item_outlook outlook_of(const QueuedItem& work) const;
   void sort_queue();
-  /// Requeues the runs on engines that have sent nothing for kEngineSilence; the items resume on another engine from
-  /// their last event.
-  void leave_silent_engines();
+  /// Requeues the runs on engines that have sent nothing for kEngineSilenceLimit; the items resume on another engine
+  /// from their last event.
+  void requeue_from_unresponsive_engines();
   /// Requeues the runs on engines that another dispatcher owns by now.
-  void leave_lost_engines();
+  void requeue_from_lost_engines();
   /// Stops @p run and requeues its item.
   /// @param live number of live calls that need the engine's slots; 0 where the run is stopped for another reason.
-  void put_back(std::map<RunId, Running>::iterator run, std::uint32_t live);
-  void set_running(const BackendId& id, std::ptrdiff_t change);
+  void requeue(std::map<RunId, RunningItem>::iterator run, std::uint32_t live);
+  void change_running(const BackendId& id, std::ptrdiff_t change);
   /// @return the route of an HTTP item under the current configuration, or null.
-  const forwarding::Route* route_of(const Queued& work) const;
+  const forwarding::Route* route_of(const QueuedItem& work) const;
   /// @return whether @p work may run on @p backend.
-  bool fits(const Queued& work, const routing::Backend& backend) const;
-  /// @return whether the route of @p work has been missing from the configuration for longer than kRouteMissing.
-  bool route_lost(const Queued& work);
-  void start_item(Queued work, routing::Backend& backend);
+  bool can_run_on(const QueuedItem& work, const routing::Backend& backend) const;
+  /// @return whether the route of @p work has been missing from the configuration for longer than kRouteMissingLimit.
+  bool route_missing_too_long(const QueuedItem& work);
+  void start_item(QueuedItem work, routing::Backend& backend);
   /// @return the engine call that runs @p work, or the error in the item.
-  Result<routing::EngineCall> call_of(const Queued& work) const;
+  Result<routing::EngineCall> call_of(const QueuedItem& work) const;
   /// @return whether an engine is known to have terminated while running @p work.
-  bool suspected(Queued& work) const;
+  bool is_suspected(QueuedItem& work) const;
   /// @return whether both @p work and an item that runs on @p engine are suspected of terminating engines. Suspected
   ///         items run on separate engines, so that a termination can be attributed to one of them.
-  bool meets_suspect(Queued& work, const BackendId& engine);
-  const routing::request_fingerprint& fingerprint_of(Queued& work) const;
+  bool conflicts_with_suspect(QueuedItem& work, const BackendId& engine);
+  const routing::request_fingerprint& fingerprint_of(QueuedItem& work) const;
   /// @return whether the repeat guard forbids running @p work at present.
-  bool held_back(Queued& work);
+  bool must_withhold(QueuedItem& work);
   /// Keeps an item that must not be run at present until its manager may hand it out for one more attempt. Once that
   /// attempt has failed, too, the item fails; if its job has a time at which unfinished items are failed, the item
   /// stays unrun until then.
-  void withhold(Queued work);
+  void withhold(QueuedItem work);
   /// Returns the item of @p run to its manager once it is known whether the engine terminated while running it.
-  void report_break(Running run);
+  void return_after_break(RunningItem run);
   void on_token(RunId id, std::uint32_t offset, std::string_view text);
   void on_finished(RunId id, std::uint32_t total);
   void on_failed(RunId id, routing::CallFailure failure);
-  bool failed_for_good(const Queued& work, routing::CallFailure failure) const;
-  Running take_running(RunId id);
-  void write_result(Queued work, bool failed);
-  void report(const Queued& work, bool completed);
+  bool failed_permanently(const QueuedItem& work, routing::CallFailure failure) const;
+  RunningItem take_running(RunId id);
+  void write_result(QueuedItem work, bool failed);
+  void report(const QueuedItem& work, bool completed);
   /// Tells the manager of a running item that this node still holds it.
-  void claim(const Queued& work);
+  void report_held(const QueuedItem& work);
   /// Tells managers which items of their jobs this node holds; they hand out again what is not confirmed for long.
-  void confirm_held();
+  void confirm_held_items();
   /// Returns to their managers the items whose withholding time is over.
-  void return_withheld();
+  void return_withheld_items();
   /// Reports items whose job has moved to another manager: running ones as held, queued ones as returned.
-  void follow_managers();
-  wire::ItemSettledT settlement_of(const Queued& work) const;
-  PeerAddress manager_of(const Queued& work) const;
-  void give_back_surplus(std::size_t wanted);
-  static const std::string& name_of(const Queued& work);
+  void update_managers();
+  wire::ItemSettledT settled_message_of(const QueuedItem& work) const;
+  PeerAddress manager_of(const QueuedItem& work) const;
+  void return_surplus_items(std::size_t wanted);
+  static const std::string& item_id_of(const QueuedItem& work);
 
   Environment& environment_;
   Counters& counters_;
@@ -196,33 +196,34 @@
   const placement::duties& duties_;
   const DispatchPolicies policies_;
   const DispatchGuards guards_;
-  std::deque<Queued> queue_;
-  std::map<RunId, Running> running_;
-  std::map<RunId, Held> settling_;  ///< Results being written, and broken runs whose cause is being determined.
-  std::vector<Withheld> withheld_;
+  std::deque<QueuedItem> queue_;
+  std::map<RunId, RunningItem> running_;
+  std::map<RunId, HeldItem> settling_;  ///< Results being written, and broken runs whose cause is being determined.
+  std::vector<WithheldItem> withheld_;
   Timestamp confirmed_at_{};
   std::map<BackendId, Engine> engines_;
-  policy::rate_meter live_;  ///< Rate at which live calls start over all engines of this node.
-  routing::repeat_guard* repeats_ = nullptr;
+  policy::rate_meter live_call_rate_;  ///< Rate at which live calls start over all engines of this node.
+  routing::repeat_guard* repeat_guard_ = nullptr;
   /// A request for items, and the items that its answers have brought, since the network may duplicate an answer.
   struct Request {
     Timestamp asked_at{};  ///< Leases run from here, since an answer may have been in transit for long.
     std::set<std::tuple<PeerAddress, std::string, std::uint32_t>> taken;  ///< Manager, job and index.
   };
-  std::map<std::uint64_t, Request> requests_;  ///< Those of the last kAnswerUseful.
+  std::map<std::uint64_t, Request> requests_;  ///< Those of the last kRequestMaxAge.
   std::uint64_t next_request_ = 0;
   /// Managers that announced items. They are asked first, and removed once they answer without items.
   std::set<PeerAddress> busy_managers_;
-  Timestamp ask_after_{};
+  Timestamp next_request_at_{};
   Duration ask_interval_{};  ///< Doubles while no manager has items.
-  std::set<BackendId> owned_;
-  Timestamp owned_at_{};
-  Timestamp left_at_ownership_{};  ///< The value of owned_at_ when runs on engines of other owners were last requeued.
-  std::uint64_t owned_at_members_version_ = 0;
-  std::uint64_t owned_at_registry_version_ = 0;
+  std::set<BackendId> owned_engines_;
+  Timestamp ownership_refreshed_at_{};
+  Timestamp requeued_for_ownership_at_{};  ///< The value of ownership_refreshed_at_ when runs on engines of other
+                                           ///< owners were last requeued.
+  std::uint64_t ownership_members_version_ = 0;
+  std::uint64_t ownership_registry_version_ = 0;
   std::map<std::string, Timestamp> route_missing_since_;  ///< Keyed by job.
   RunId next_run_ = 0;
-  std::uint64_t followed_members_version_ = 0;
+  std::uint64_t managers_members_version_ = 0;
   bool draining_ = false;
   Lifetime lifetime_;
 };
--- a/src/batch/job_manager.cpp
+++ b/src/batch/job_manager.cpp
@@ -10,7 +10,7 @@
 /// After a read of the job's record, items may be handed out for this long, counted from the start of the read.
 constexpr Duration kJobLease = 2s;
 /// Items are not handed out with less time to start than this; the dispatcher would only return them.
-constexpr Duration kLeastLeaseGiven = 100ms;
+constexpr Duration kMinJobLeaseLeft = 100ms;
 constexpr Duration kConfirmInterval = 700ms;
 /// Dispatchers confirm every second which items they hold; an item that is not confirmed for this long is handed out
 /// again. With a lease of 30 s and no confirmations, an item whose message was lost stayed unrun until its job's time
@@ -20,13 +20,13 @@
 constexpr Duration kAnnounceInterval = 1s;
 constexpr std::size_t kAnnounceFanout = 8;
 constexpr std::uint32_t kScanPage = 2000;
-constexpr std::size_t kChunksHeld = 64;
+constexpr std::size_t kMaxCachedChunks = 64;
 /// A job older than this was probably managed by another node before.
-constexpr Duration kFresh = 1500ms;
+constexpr Duration kNewJobAge = 1500ms;
 /// Time that the dispatchers of a job's items take to learn which node manages the job now.
-constexpr Duration kTakeOver = 250ms;
-constexpr Duration kEarlyUseful = 5s;     ///< Older messages about jobs that are not open are dropped.
-constexpr std::size_t kMostEarly = 2000;  ///< Over all jobs.
+constexpr Duration kTakeOverDelay = 250ms;
+constexpr Duration kEarlyMessageMaxAge = 5s;     ///< Older messages about jobs that are not open are dropped.
+constexpr std::size_t kMaxEarlyMessages = 2000;  ///< Over all jobs.
 }  // namespace
 
 JobManager::JobManager(Environment& environment, Counters& counters, ledger::Client& ledger,
@@ -39,7 +39,7 @@
       members_(members),
       duties_(who),
       log_(log),
-      order_(std::move(order)),
+      item_order_(std::move(order)),
       estimate_(estimate),
       guards_(guards) {}
 
@@ -49,17 +49,19 @@
   // The result is cached: ranking the schedulers for each job at each tick would cost too much.
   if (members_version_ != members_.version()) {
     members_version_ = members_.version();
-    owned_.clear();
+    owned_jobs_.clear();
   }
-  const auto [entry, unknown] = owned_.try_emplace(job, false);
+  const auto [entry, unknown] = owned_jobs_.try_emplace(job, false);
   if (unknown) {
-    const wire::MemberT* owner = best_ranked(job);
+    const wire::MemberT* owner = highest_ranked_scheduler(job);
     entry->second = owner != nullptr && owner->id == members_.self().id;
   }
   return entry->second;
 }
 
-const wire::MemberT* JobManager::best_ranked(const std::string& name) const { return duties_.manager_of(name); }
+const wire::MemberT* JobManager::highest_ranked_scheduler(const std::string& name) const {
+  return duties_.manager_of(name);
+}
 
 void JobManager::tick() {
   environment_.after(kTick, lifetime_.guard([this] { tick(); }));
@@ -70,17 +72,17 @@
     }
     return moved;
   });
-  std::erase_if(early_, [this](const auto& entry) {
-    return entry.second.empty() || environment_.now() - entry.second.back().at > kEarlyUseful;
+  std::erase_if(early_messages_, [this](const auto& entry) {
+    return entry.second.empty() || environment_.now() - entry.second.back().at > kEarlyMessageMaxAge;
   });
   for (auto& [id, job] : jobs_) {
     expire_leases(job);
     // A job whose first read failed has no items yet; its record is read again, too.
     const bool readable = job.loaded || job.items.empty();
     if (readable && environment_.now() - job.confirmed_at > kConfirmInterval) {
-      confirm(id);
+      confirm_job(id);
     }
-    give_up_late_items(id);
+    fail_overdue_items(id);
     append_order(id);
   }
   std::vector<JobId> open;
@@ -91,10 +93,10 @@
     complete_if_done(id);
   }
   announce_pending();
-  if (!discovering_ && ledger_.has_group_map() && environment_.now() - last_discovery_ > kDiscoveryInterval) {
-    discovering_ = true;
+  if (!discovering_jobs_ && ledger_.has_group_map() && environment_.now() - last_discovery_ > kDiscoveryInterval) {
+    discovering_jobs_ = true;
     last_discovery_ = environment_.now();
-    discover(next_watched_group(0), "");
+    discover_jobs(next_scanned_group(0), "");
   }
   counters_["jobs_managed"] = static_cast<CounterValue>(jobs_.size());
 }
@@ -119,7 +121,7 @@
   }
 }
 
-std::uint32_t JobManager::next_watched_group(std::uint32_t from) const {
+std::uint32_t JobManager::next_scanned_group(std::uint32_t from) const {
   // One scheduler scans a group on behalf of all: if every node did, the ledger nodes would serve one scan for each
   // node and group.
   const auto groups = static_cast<std::uint32_t>(ledger_.group_map().groups.size());
@@ -129,30 +131,30 @@
   return from;
 }
 
-void JobManager::discover(std::uint32_t group, const std::string& after) {
+void JobManager::discover_jobs(std::uint32_t group, const std::string& after) {
   if (group >= ledger_.group_map().groups.size()) {
-    discovering_ = false;
+    discovering_jobs_ = false;
     return;
   }
   const auto take_page = [this, group](Result<ledger::ScanPage> result) {
     if (!succeeded(result)) {
-      discovering_ = false;
+      discovering_jobs_ = false;
       return;
     }
     const ledger::ScanPage& page = value_of(result);
     for (const ledger::ScanRecord& record : page.records) {
       const auto job = wire::decode_record<wire::JobRecordT>(record.value);
       if (job && job->state == wire::JobState::Accepted) {
-        tell_owner(job->id);
+        notify_owner(job->id);
       }
     }
-    discover(page.next_after.empty() ? next_watched_group(group + 1) : group, page.next_after);
+    discover_jobs(page.next_after.empty() ? next_scanned_group(group + 1) : group, page.next_after);
   };
   ledger_.scan_group(group, kJobPrefix, after, kScanPage, lifetime_.guard(take_page));
 }
 
-void JobManager::tell_owner(const std::string& job) {
-  const wire::MemberT* owner = best_ranked(job);
+void JobManager::notify_owner(const std::string& job) {
+  const wire::MemberT* owner = highest_ranked_scheduler(job);
   if (owner == nullptr) {
     return;
   }
@@ -166,11 +168,11 @@
   if (inserted) {
     counters_["jobs_opened_total"]++;
     log_.record("job_opened", {{"job", job.str()}, {"members_version", members_.version()}});
-    confirm(job);
+    confirm_job(job);
   }
 }
 
-void JobManager::confirm(const JobId& id) {
+void JobManager::confirm_job(const JobId& id) {
   Job& job = jobs_.at(id);
   if (job.confirming) {
     return;
@@ -200,9 +202,9 @@
   job.confirmed_at = read_started;
   if (job.items.empty()) {
     job.record = *record;
-    const bool fresh = environment_.unix_milliseconds() < record->accepted_at_ms + kFresh / 1ms;
+    const bool fresh = environment_.unix_milliseconds() < record->accepted_at_ms + kNewJobAge / 1ms;
     job.waiting_tokens = std::accumulate(record->item_tokens.begin(), record->item_tokens.end(), std::uint64_t{0});
-    job.hand_out_after = fresh ? Timestamp{} : environment_.now() + kTakeOver;
+    job.hand_out_after = fresh ? Timestamp{} : environment_.now() + kTakeOverDelay;
     job.items.assign(record->items, ItemState::pending);
     load_results(id, "");
   }
@@ -228,7 +230,7 @@
     }
     if (page.next_after.empty()) {
       entry->second.loaded = true;
-      apply_early(id);
+      apply_early_messages(id);
       last_announcement_ = Timestamp{};
       announce_pending();
       append_order(id);
@@ -243,11 +245,11 @@
 void JobManager::handle(const wire::JobNoticeT& message) {
   const JobId id(message.job);
   if (message.cancelled) {
-    finished_.insert(message.job);
+    finished_jobs_.insert(message.job);
     if (const auto entry = jobs_.find(id); entry != jobs_.end()) {
       finish(entry);
     }
-  } else if (!message.job.empty() && owns(message.job) && !finished_.contains(message.job)) {
+  } else if (!message.job.empty() && owns(message.job) && !finished_jobs_.contains(message.job)) {
     open_job(id);
   }
 }
@@ -255,7 +257,7 @@
 void JobManager::handle(const PeerAddress& sender, const wire::TakeItemsT& message) {
   std::vector<Job*> order;
   for (auto& [id, job] : jobs_) {
-    const bool leased = environment_.now() - job.confirmed_at < kJobLease - kLeastLeaseGiven;
+    const bool leased = environment_.now() - job.confirmed_at < kJobLease - kMinJobLeaseLeft;
     if (environment_.now() >= job.hand_out_after && job.loaded && (leased || !guards_.lease_jobs)) {
       order.push_back(&job);
     }
@@ -271,9 +273,10 @@
   });
   wire::GiveItemsT reply;
   reply.request = message.request;
-  const std::vector<Pass> passes =
-      order_->late_go_last() ? std::vector{Pass::in_time, Pass::late} : std::vector{Pass::any};
-  for (const Pass pass : passes) {
+  const std::vector<HandOutPass> passes = item_order_->late_go_last()
+                                              ? std::vector{HandOutPass::in_time, HandOutPass::late}
+                                              : std::vector{HandOutPass::any};
+  for (const HandOutPass pass : passes) {
     for (Job* job : order) {
       const auto room = message.capacity - static_cast<std::uint32_t>(reply.items.size());
       if (room > 0) {
@@ -297,19 +300,20 @@
   return nullptr;
 }
 
-bool JobManager::belongs_to(Pass pass, const Job& job, std::uint32_t index) const {
-  if (pass == Pass::any || job.record.deadline_ms == 0) {
-    return pass != Pass::late;
+bool JobManager::in_pass(HandOutPass pass, const Job& job, std::uint32_t index) const {
+  if (pass == HandOutPass::any || job.record.deadline_ms == 0) {
+    return pass != HandOutPass::late;
   }
   const std::uint32_t tokens = index < job.record.item_tokens.size() ? job.record.item_tokens[index] : 0;
-  const auto progress = job.unfinished.find(index);
-  const std::uint32_t events = progress == job.unfinished.end() ? 0 : progress->second.tokens;
+  const auto progress = job.item_progress.find(index);
+  const std::uint32_t events = progress == job.item_progress.end() ? 0 : progress->second.tokens;
   const Duration work = estimate_.time_left(job.record.template_name, tokens, events);
   const std::uint64_t done_at_ms = environment_.unix_milliseconds() + static_cast<std::uint64_t>(work / 1ms);
-  return (pass == Pass::late) == (done_at_ms > job.record.deadline_ms);
+  return (pass == HandOutPass::late) == (done_at_ms > job.record.deadline_ms);
 }
 
-void JobManager::hand_out(Job& job, const PeerAddress& to, std::uint32_t capacity, Pass pass, wire::GiveItemsT& reply) {
+void JobManager::hand_out(Job& job, const PeerAddress& to, std::uint32_t capacity, HandOutPass pass,
+                          wire::GiveItemsT& reply) {
   std::uint32_t given = 0;
   bool only_settled_before = true;
   for (std::uint32_t index = job.cursor; index < job.items.size() && given < capacity; ++index) {
@@ -322,7 +326,7 @@
       continue;
     }
     only_settled_before = false;
-    if (!belongs_to(pass, job, index)) {
+    if (!in_pass(pass, job, index)) {
       continue;
     }
     auto item = std::make_unique<wire::WorkItemT>();
@@ -348,7 +352,7 @@
     job.first_handed_out.try_emplace(index, environment_.now());
     job.leases[index] = lease_of(to);
     item->host = job.record.host;
-    if (const auto progress = job.unfinished.find(index); progress != job.unfinished.end()) {
+    if (const auto progress = job.item_progress.find(index); progress != job.item_progress.end()) {
       item->partial = progress->second.partial;
       item->partial_tokens = progress->second.tokens;
       item->failed_runs = progress->second.failed_runs;
@@ -392,7 +396,7 @@
       return;
     }
     if (auto chunk = wire::decode_record<wire::ChunkRecordT>(value_of(result).records.front().value)) {
-      if (owner.chunks.size() >= kChunksHeld) {
+      if (owner.chunks.size() >= kMaxCachedChunks) {
         owner.chunks.erase(owner.chunks.begin());
       }
       owner.chunks[number] = std::move(*chunk);
@@ -403,7 +407,7 @@
 
 /// A dispatcher that failed or restarted has lost its items. A dispatcher that was unknown to this node when the lease
 /// began keeps the lease until it expires.
-bool JobManager::holder_lives(const Lease& lease) const {
+bool JobManager::holder_is_alive(const Lease& lease) const {
   if (lease.incarnation == 0) {
     return true;
   }
@@ -443,9 +447,9 @@
 }
 
 void JobManager::expire_leases(Job& job) {
-  bool word_lost = false;
+  bool message_lost = false;
   for (auto lease = job.leases.begin(); lease != job.leases.end();) {
-    const bool lives = holder_lives(lease->second);
+    const bool lives = holder_is_alive(lease->second);
     if (!guards_.expire_items || (environment_.now() < lease->second.until && lives)) {
       ++lease;
       continue;
@@ -453,7 +457,7 @@
     if (job.items[lease->first] == ItemState::leased) {
       job.items[lease->first] = ItemState::pending;
       job.cursor = std::min(job.cursor, lease->first);
-      word_lost = word_lost || lives;
+      message_lost = message_lost || lives;
       counters_["batch_item_leases_expired_total"]++;
       log_.record("item_lease_expired", {{"job", job.record.id},
                                          {"index", lease->first},
@@ -462,7 +466,7 @@
     }
     lease = job.leases.erase(lease);
   }
-  if (word_lost && job.loaded) {
+  if (message_lost && job.loaded) {
     // The lost message may have reported that the item is done, so the results are read before it is handed out again.
     job.loaded = false;
     load_results(JobId(job.record.id), "");
@@ -475,13 +479,13 @@
   }
   job.items[index] = ItemState::settled;
   job.leases.erase(index);
-  job.unfinished.erase(index);
+  job.item_progress.erase(index);
   ++job.settled;
   if (index < job.record.item_tokens.size()) {
     job.waiting_tokens -= std::min<std::uint64_t>(job.waiting_tokens, job.record.item_tokens[index]);
   }
   if (job.ordered() && !job.listed.contains(index)) {
-    job.order_pending.push_back(index);
+    job.unlisted_results.push_back(index);
   }
 }
 
@@ -489,36 +493,36 @@
   const JobId id(message.job);
   const auto entry = jobs_.find(id);
   if (entry != jobs_.end() && entry->second.loaded) {
-    apply(entry->second, sender, message);
+    apply_settlement(entry->second, sender, message);
     append_order(id);
     complete_if_done(id);
     return;
   }
   std::size_t waiting = 0;
-  for (const auto& [job, messages] : early_) {
+  for (const auto& [job, messages] : early_messages_) {
     waiting += messages.size();
   }
-  if (finished_.contains(message.job) || waiting >= kMostEarly) {
+  if (finished_jobs_.contains(message.job) || waiting >= kMaxEarlyMessages) {
     counters_["batch_settlements_dropped_total"]++;
     return;
   }
-  early_[id].push_back({environment_.now(), sender, message});
+  early_messages_[id].push_back({environment_.now(), sender, message});
   if (owns(message.job)) {
     open_job(id);
   }
 }
 
-void JobManager::apply_early(const JobId& id) {
-  const auto node = early_.extract(id);
+void JobManager::apply_early_messages(const JobId& id) {
+  const auto node = early_messages_.extract(id);
   if (node.empty()) {
     return;
   }
-  for (const Early& early : node.mapped()) {
-    apply(jobs_.at(id), early.sender, early.message);
+  for (const EarlyMessage& early : node.mapped()) {
+    apply_settlement(jobs_.at(id), early.sender, early.message);
   }
 }
 
-void JobManager::apply(Job& job, const PeerAddress& sender, const wire::ItemSettledT& message) {
+void JobManager::apply_settlement(Job& job, const PeerAddress& sender, const wire::ItemSettledT& message) {
   if (message.index >= job.items.size()) {
     return;
   }
@@ -528,7 +532,7 @@
     return;
   }
   if (job.items[message.index] != ItemState::settled && message.partial_tokens + message.failed_runs > 0) {
-    Progress& progress = job.unfinished[message.index];
+    ItemProgress& progress = job.item_progress[message.index];
     progress.failed_runs = std::max(progress.failed_runs, message.failed_runs);
     if (message.partial_tokens >= progress.tokens) {
       progress.partial = message.partial;
@@ -559,12 +563,12 @@
 }
 
 void JobManager::hand_over(const Job& job) {
-  const wire::MemberT* owner = best_ranked(job.record.id);
+  const wire::MemberT* owner = highest_ranked_scheduler(job.record.id);
   if (owner == nullptr || owner->id == members_.self().id) {
     return;
   }
-  tell_owner(job.record.id);
-  for (const auto& [index, progress] : job.unfinished) {
+  notify_owner(job.record.id);
+  for (const auto& [index, progress] : job.item_progress) {
     wire::ItemSettledT message;
     message.job = job.record.id;
     message.index = index;
@@ -603,15 +607,15 @@
 
 std::vector<wire::QueuedJobT> JobManager::take_closed() {
   std::vector<wire::QueuedJobT> closed;
-  std::swap(closed, closed_);
+  std::swap(closed, closed_jobs_);
   return closed;
 }
 
 void JobManager::finish(std::map<JobId, Job>::iterator job) {
-  finished_.insert(job->first.str());
+  finished_jobs_.insert(job->first.str());
   if (!job->second.record.item_tokens.empty()) {
-    closed_.push_back(queued_job(job->second));
-    closed_.back().closed = true;
+    closed_jobs_.push_back(queued_job(job->second));
+    closed_jobs_.back().closed = true;
   }
   jobs_.erase(job);
 }
@@ -650,11 +654,11 @@
 
 void JobManager::append_order(const JobId& id) {
   Job& job = jobs_.at(id);
-  if (!job.loaded || job.ordering || job.order_pending.empty()) {
+  if (!job.loaded || job.ordering || job.unlisted_results.empty()) {
     return;
   }
   job.ordering = true;
-  const auto append = [pending = job.order_pending, listed = job.listed,
+  const auto append = [pending = job.unlisted_results, listed = job.listed,
                        guards = guards_](const ledger::OptionalValue& current) -> ledger::OptionalValue {
     auto record = current ? wire::decode_record<wire::OrderRecordT>(*current) : wire::OrderRecordT();
     if (!record) {
@@ -695,19 +699,19 @@
   job.listed.insert(record->indexes.begin(), record->indexes.end());
   log_.record("results_listed", {{"job", id.str()}, {"listed", job.listed.size()}, {"items", job.items.size()}});
   job.order_segment += record->indexes.size() >= kOrderSegment ? 1 : 0;
-  std::erase_if(job.order_pending, [&job](std::uint32_t index) { return job.listed.contains(index); });
+  std::erase_if(job.unlisted_results, [&job](std::uint32_t index) { return job.listed.contains(index); });
   append_order(id);
   complete_if_done(id);
 }
 
-void JobManager::give_up_late_items(const JobId& id) {
+void JobManager::fail_overdue_items(const JobId& id) {
   Job& job = jobs_.at(id);
   const bool late = job.record.give_up_at_ms != 0 && environment_.unix_milliseconds() > job.record.give_up_at_ms;
   if (!late || !job.loaded) {
     return;
   }
   for (std::uint32_t index = 0; index < job.items.size(); ++index) {
-    if (job.items[index] == ItemState::settled || !job.giving_up.insert(index).second) {
+    if (job.items[index] == ItemState::settled || !job.giving_up_items.insert(index).second) {
       continue;
     }
     wire::ResultRecordT record;
@@ -720,7 +724,7 @@
       const auto item = wire::decode_record<wire::HttpItemT>(body);
       record.item_id = item ? item->id : "";
     } else {
-      job.giving_up.erase(index);
+      job.giving_up_items.erase(index);
       break;  // the chunk is being read
     }
     const wire::Bytes encoded = wire::encode_record(record);
@@ -734,7 +738,7 @@
                      if (entry == jobs_.end()) {
                        return;
                      }
-                     entry->second.giving_up.erase(index);
+                     entry->second.giving_up_items.erase(index);
                      if (succeeded(result)) {
                        settle(entry->second, index);
                        append_order(id);
--- a/src/batch/job_manager.hpp
+++ b/src/batch/job_manager.hpp
@@ -63,7 +63,7 @@
     std::uint64_t incarnation = 0;  ///< Incarnation of the holder's process; 0 if the holder is unknown.
   };
   /// Output of runs that ended before the item was done.
-  struct Progress {
+  struct ItemProgress {
     std::string partial;
     std::uint32_t tokens = 0;
     std::uint32_t failed_runs = 0;
@@ -82,48 +82,48 @@
     std::uint32_t cursor = 0;          ///< No pending item has a lower index.
     std::map<std::uint32_t, Lease> leases;
     std::map<std::uint32_t, Timestamp> first_handed_out;  ///< Keyed by item; only items that are not settled.
-    std::map<std::uint32_t, Progress> unfinished;         ///< Progress of items that dispatchers returned unfinished.
+    std::map<std::uint32_t, ItemProgress> item_progress;  ///< Progress of items that dispatchers returned unfinished.
     std::map<std::uint32_t, wire::ChunkRecordT> chunks;
     std::set<std::uint32_t> loading_chunks;
-    std::set<std::uint32_t> listed;            ///< Items known to be in the order records.
-    std::vector<std::uint32_t> order_pending;  ///< Settled items that are not in the order records yet.
+    std::set<std::uint32_t> listed;               ///< Items known to be in the order records.
+    std::vector<std::uint32_t> unlisted_results;  ///< Settled items that are not in the order records yet.
     std::uint32_t order_segment = 0;
     bool ordering = false;
-    std::set<std::uint32_t> giving_up;  ///< Items whose failure is being written, since their time is over.
+    std::set<std::uint32_t> giving_up_items;  ///< Items whose failure is being written, since their time is over.
     /// @return whether results are listed in order records, so that their positions never change.
     bool ordered() const { return !record.host.empty(); }
   };
 
   bool owns(const std::string& job) const;
   /// @return the scheduler that ranks first for @p name.
-  const wire::MemberT* best_ranked(const std::string& name) const;
+  const wire::MemberT* highest_ranked_scheduler(const std::string& name) const;
   /// Sends the progress of the job's items to the node that manages the job now.
   void hand_over(const Job& job);
   /// Removes a job that is completed or cancelled.
   void finish(std::map<JobId, Job>::iterator job);
   static wire::QueuedJobT queued_job(const Job& job);
-  void apply(Job& job, const PeerAddress& sender, const wire::ItemSettledT& message);
+  void apply_settlement(Job& job, const PeerAddress& sender, const wire::ItemSettledT& message);
   /// Applies the messages about @p id that arrived before the job was open on this node.
-  void apply_early(const JobId& id);
+  void apply_early_messages(const JobId& id);
   /// @return the first ledger group from @p from on that this node scans for jobs; past the last group if none.
-  std::uint32_t next_watched_group(std::uint32_t from) const;
-  void tell_owner(const std::string& job);
+  std::uint32_t next_scanned_group(std::uint32_t from) const;
+  void notify_owner(const std::string& job);
   void tick();
   void announce_pending();
-  void discover(std::uint32_t group, const std::string& after);
+  void discover_jobs(std::uint32_t group, const std::string& after);
   void open_job(const JobId& job);
   void on_job_record(const JobId& job, Timestamp read_started, Result<ledger::OptionalValue> result);
   void load_results(const JobId& job, const std::string& after);
-  void confirm(const JobId& job);
+  void confirm_job(const JobId& job);
   void renew_leases(Job& job, const PeerAddress& holder, const std::vector<std::uint32_t>& items);
   /// @return a new lease for @p holder, starting now.
   Lease lease_of(const PeerAddress& holder) const;
   void expire_leases(Job& job);
-  bool holder_lives(const Lease& lease) const;
+  bool holder_is_alive(const Lease& lease) const;
   /// Which items are handed out in one pass over the jobs: all, those that can meet their deadline, or the others.
-  enum class Pass : std::uint8_t { any, in_time, late };
-  void hand_out(Job& job, const PeerAddress& to, std::uint32_t capacity, Pass pass, wire::GiveItemsT& reply);
-  bool belongs_to(Pass pass, const Job& job, std::uint32_t index) const;
+  enum class HandOutPass : std::uint8_t { any, in_time, late };
+  void hand_out(Job& job, const PeerAddress& to, std::uint32_t capacity, HandOutPass pass, wire::GiveItemsT& reply);
+  bool in_pass(HandOutPass pass, const Job& job, std::uint32_t index) const;
   bool item_body(Job& job, std::uint32_t index, std::string& body);
   void load_chunk(Job& job, std::uint32_t chunk);
   void settle(Job& job, std::uint32_t index);
@@ -134,7 +134,7 @@
   void append_order(const JobId& id);
   void on_order_written(const JobId& id, const Result<ledger::OptionalValue>& result);
   /// Writes failed results for unfinished items once the job's give-up time has passed.
-  void give_up_late_items(const JobId& id);
+  void fail_overdue_items(const JobId& id);
 
   Environment& environment_;
   Counters& counters_;
@@ -142,24 +142,24 @@
   membership::Membership& members_;
   const placement::duties& duties_;
   DecisionLog& log_;
-  const std::shared_ptr<const policy::item_order> order_;
+  const std::shared_ptr<const policy::item_order> item_order_;
   policy::work_estimate& estimate_;
   const ManagerGuards guards_;
   std::map<JobId, Job> jobs_;
   /// A message about a job that is not open on this node yet.
-  struct Early {
+  struct EarlyMessage {
     Timestamp at{};
     PeerAddress sender;
     wire::ItemSettledT message;
   };
-  std::map<JobId, std::vector<Early>> early_;
-  std::vector<wire::QueuedJobT> closed_;
-  std::set<std::string> finished_;  ///< Jobs known to be completed or cancelled.
-  bool discovering_ = false;
+  std::map<JobId, std::vector<EarlyMessage>> early_messages_;
+  std::vector<wire::QueuedJobT> closed_jobs_;
+  std::set<std::string> finished_jobs_;  ///< Jobs known to be completed or cancelled.
+  bool discovering_jobs_ = false;
   Timestamp last_discovery_{};
   Timestamp last_announcement_{};
   /// Ownership of jobs, valid for members_version_.
-  mutable std::map<std::string, bool> owned_;
+  mutable std::map<std::string, bool> owned_jobs_;
   mutable std::uint64_t members_version_ = 0;
   Lifetime lifetime_;
 };
--- a/src/batch/queue_limiter.cpp
+++ b/src/batch/queue_limiter.cpp
@@ -9,32 +9,32 @@
 namespace {
 
 constexpr Duration kTick = 250ms;
-constexpr Duration kRefresh = 1s;  ///< Least interval between two reports of all jobs, also of unchanged ones.
+constexpr Duration kRefreshInterval = 1s;  ///< Least interval between two reports of all jobs, also of unchanged ones.
 /// In large fleets all jobs are reported less often, in proportion to the number of peers, but still much more often
-/// than kForget.
-constexpr Duration kRefreshOfOnePeer = 40ms;
-constexpr Duration kReportOfOnePeer = 8ms;
+/// than kJobExpiry.
+constexpr Duration kRefreshIntervalPerPeer = 40ms;
+constexpr Duration kReportIntervalPerPeer = 8ms;
 /// A route is near the limit when the waiting tokens exceed the lowest limit divided by this; only then are changes
 /// reported soon.
-constexpr std::uint64_t kNearPart = 4;
+constexpr std::uint64_t kNearLimitDivisor = 4;
 /// A longer pause between ticks means that this process was frozen and has missed reports of other nodes.
-constexpr Duration kFrozen = 1s;
+constexpr Duration kFrozenTickGap = 1s;
 /// A job that no node has reported for this long is removed from the view. This is longer than a job takes to move to
 /// another manager.
-constexpr Duration kForget = 10s;
+constexpr Duration kJobExpiry = 10s;
 /// Reports of a closed job are ignored for this long: longer than a message takes, shorter than the time in which a
 /// caller submits a withdrawn job again.
-constexpr Duration kClosedCounts = 250ms;
-constexpr Duration kKeeperAnswers = 300ms;
-constexpr Duration kLeastComeback = 300ms;
-constexpr Duration kMostComeback = 4s;
+constexpr Duration kClosedJobMemory = 250ms;
+constexpr Duration kKeeperTimeout = 300ms;
+constexpr Duration kMinRetryAfter = 300ms;
+constexpr Duration kMaxRetryAfter = 4s;
 constexpr std::uint32_t kScanPage = 500;
 /// Up to its limit divided by this, a route is filled without asking the keeper.
-constexpr std::uint64_t kUnaskedPart = 2;
+constexpr std::uint64_t kLocalLimitDivisor = 2;
 /// Other nodes have received a report after this time; longer than a message takes.
-constexpr Duration kNewsTravel = 200ms;
+constexpr Duration kReportDelayLimit = 200ms;
 /// Longest wait of an admission request for a complete view; a node that has just started reads the open jobs in less.
-constexpr Duration kViewWait = 150ms;
+constexpr Duration kMaxViewWait = 150ms;
 constexpr double kFreedSmoothing = 0.2;
 
 std::string keeper_key(const std::string& route) { return "queue-limit/" + route; }
@@ -61,22 +61,22 @@
 void queue_limiter::tick() {
   environment_.after(kTick, lifetime_.guard([this] { tick(); }));
   const Timestamp now = environment_.now();
-  informed_ = informed_ && now - ticked_at_ < kFrozen;
+  view_complete_ = view_complete_ && now - ticked_at_ < kFrozenTickGap;
   ticked_at_ = now;
   for (auto& [route, jobs] : routes_) {
-    std::erase_if(jobs, [now](const auto& entry) { return now - entry.second.heard_at > kForget; });
+    std::erase_if(jobs, [now](const auto& entry) { return now - entry.second.heard_at > kJobExpiry; });
   }
-  std::erase_if(closed_at_, [now](const auto& entry) { return now - entry.second > kClosedCounts; });
+  std::erase_if(closed_at_, [now](const auto& entry) { return now - entry.second > kClosedJobMemory; });
   read_if_needed();
 }
 
 void queue_limiter::set_least_limit(std::uint64_t limit) {
-  least_limit_ = limit;
+  lowest_limit_ = limit;
   read_if_needed();
 }
 
 void queue_limiter::read_if_needed() {
-  if (limited() && !informed_ && !reading_ && ledger_.has_group_map()) {
+  if (limited() && !view_complete_ && !reading_ && ledger_.has_group_map()) {
     reading_ = true;
     read_records(0, "");
   }
@@ -85,9 +85,9 @@
 void queue_limiter::read_records(std::uint32_t group, const std::string& after) {
   if (group >= ledger_.group_map().groups.size()) {
     reading_ = false;
-    informed_ = true;
+    view_complete_ = true;
     counters_["queue_views_read_total"]++;
-    decide_waiting();
+    decide_waiting_requests();
     return;
   }
   const auto take_page = [this, group](const Result<ledger::ScanPage>& result) {
@@ -105,15 +105,15 @@
       job.route = queue_name(record->template_name, record->tenant);
       job.job = record->id;
       job.tokens = std::accumulate(record->item_tokens.begin(), record->item_tokens.end(), std::uint64_t{0});
-      take(job, true);
+      update_view(job, true);
     }
     read_records(page.next_after.empty() ? group + 1 : group, page.next_after);
   };
   ledger_.scan_group(group, kJobPrefix, after, kScanPage, lifetime_.guard(take_page));
 }
 
-void queue_limiter::take(const wire::QueuedJobT& job, bool estimated) {
-  Jobs& jobs = routes_[job.route];
+void queue_limiter::update_view(const wire::QueuedJobT& job, bool estimated) {
+  JobEntries& jobs = routes_[job.route];
   const JobId id(job.job);
   const auto known = jobs.find(id);
   if (estimated && known != jobs.end()) {
@@ -128,10 +128,10 @@
     return;
   }
   const auto closed = closed_at_.find(id);
-  if (closed != closed_at_.end() && environment_.now() - closed->second < kClosedCounts) {
+  if (closed != closed_at_.end() && environment_.now() - closed->second < kClosedJobMemory) {
     return;  // this report was sent before the job was closed
   }
-  jobs[id] = Entry{job.tokens, environment_.now(), estimated};
+  jobs[id] = JobEntry{job.tokens, environment_.now(), estimated};
 }
 
 std::uint64_t queue_limiter::waiting(const std::string& route) const {
@@ -143,7 +143,7 @@
                          [](std::uint64_t sum, const auto& entry) { return sum + entry.second.tokens; });
 }
 
-void queue_limiter::tell(std::vector<wire::QueuedJobT> jobs) {
+void queue_limiter::report_to_peers(std::vector<wire::QueuedJobT> jobs) {
   for (const wire::MemberT* node : members_.available(membership::Role::gateway)) {
     if (node->id == members_.self().id) {
       continue;
@@ -160,9 +160,10 @@
 
 Duration queue_limiter::report_interval() const {
   const auto peers = static_cast<int>(members_.available(membership::Role::gateway).size());
-  const bool near = std::any_of(routes_.begin(), routes_.end(),
-                                [this](const auto& route) { return waiting(route.first) > least_limit_ / kNearPart; });
-  return near ? kReportOfOnePeer * peers : std::max<Duration>(kRefresh, kRefreshOfOnePeer * peers);
+  const bool near = std::any_of(routes_.begin(), routes_.end(), [this](const auto& route) {
+    return waiting(route.first) > lowest_limit_ / kNearLimitDivisor;
+  });
+  return near ? kReportIntervalPerPeer * peers : std::max<Duration>(kRefreshInterval, kRefreshIntervalPerPeer * peers);
 }
 
 void queue_limiter::set_managed(const std::vector<wire::QueuedJobT>& jobs) {
@@ -173,18 +174,18 @@
   const double passed = std::chrono::duration<double>(now - reported_at_).count();
   reported_at_ = now;
   const auto peers = static_cast<int>(members_.available(membership::Role::gateway).size());
-  const bool refresh = now - refreshed_at_ >= std::max<Duration>(kRefresh, kRefreshOfOnePeer * peers);
+  const bool refresh = now - refreshed_at_ >= std::max<Duration>(kRefreshInterval, kRefreshIntervalPerPeer * peers);
   refreshed_at_ = refresh ? now : refreshed_at_;
   std::vector<wire::QueuedJobT> news;
   std::map<JobId, wire::QueuedJobT> told;
   std::map<std::string, std::uint64_t> freed;
   for (const wire::QueuedJobT& job : jobs) {
     const JobId id(job.job);
-    const auto before = told_.find(id);
-    const bool changed = before == told_.end() || before->second.tokens != job.tokens;
-    const bool less = before != told_.end() && before->second.tokens > job.tokens;
+    const auto before = last_reported_.find(id);
+    const bool changed = before == last_reported_.end() || before->second.tokens != job.tokens;
+    const bool less = before != last_reported_.end() && before->second.tokens > job.tokens;
     freed[job.route] += less ? before->second.tokens - job.tokens : 0;
-    take(job, false);
+    update_view(job, false);
     if (changed || refresh) {
       news.push_back(job);
     }
@@ -195,9 +196,9 @@
     double& average = freed_per_second_[route];
     average += kFreedSmoothing * (per_second - average);
   }
-  told_ = std::move(told);
+  last_reported_ = std::move(told);
   if (!news.empty()) {
-    tell(std::move(news));
+    report_to_peers(std::move(news));
   }
 }
 
@@ -206,8 +207,8 @@
   closed.route = route;
   closed.job = job.str();
   closed.closed = true;
-  take(closed, false);
-  tell({closed});
+  update_view(closed, false);
+  report_to_peers({closed});
 }
 
 void queue_limiter::close(const JobId& job) {
@@ -218,7 +219,7 @@
 
 void queue_limiter::handle(const wire::QueueReportT& message) {
   for (const auto& job : message.jobs) {
-    take(*job, false);
+    update_view(*job, false);
   }
 }
 
@@ -228,10 +229,10 @@
   const std::size_t nodes = std::max<std::size_t>(1, members_.available(membership::Role::scheduler).size());
   const double per_second = freed == freed_per_second_.end() ? 0 : freed->second * static_cast<double>(nodes);
   if (per_second <= 0) {
-    return kMostComeback;
+    return kMaxRetryAfter;
   }
   const double seconds = static_cast<double>(tokens) / per_second;
-  return std::clamp(Duration(static_cast<std::int64_t>(std::min(seconds, 60.0) * 1e6)), kLeastComeback, kMostComeback);
+  return std::clamp(Duration(static_cast<std::int64_t>(std::min(seconds, 60.0) * 1e6)), kMinRetryAfter, kMaxRetryAfter);
 }
 
 admission queue_limiter::decide(const admission_request& request) {
@@ -239,8 +240,8 @@
   if (jobs != routes_.end() && jobs->second.contains(request.job)) {
     return {admission_verdict::admitted, {}};  // resubmitted
   }
-  if (!informed_) {
-    return {admission_verdict::unsure, kLeastComeback};
+  if (!view_complete_) {
+    return {admission_verdict::unsure, kMinRetryAfter};
   }
   const std::uint64_t waits = waiting(request.route);
   if (waits + request.tokens > request.limit) {
@@ -252,24 +253,25 @@
 void queue_limiter::reserve(const admission_request& request) {
   const wire::QueuedJobT job = queued_job(request);
   if (!routes_[request.route].contains(request.job)) {
-    take(job, false);
-    tell({job});
+    update_view(job, false);
+    report_to_peers({job});
   }
 }
 
-bool queue_limiter::fits_unasked(const admission_request& request) {
-  if (!informed_) {
+bool queue_limiter::fits_without_keeper(const admission_request& request) {
+  if (!view_complete_) {
     return false;
   }
   const Timestamp now = environment_.now();
-  auto& recent = unasked_[request.route];
-  std::erase_if(recent, [now](const Unasked& entry) { return now - entry.at > kNewsTravel; });
-  const std::uint64_t own = std::accumulate(recent.begin(), recent.end(), std::uint64_t{0},
-                                            [](std::uint64_t sum, const Unasked& entry) { return sum + entry.tokens; });
+  auto& recent = local_admissions_[request.route];
+  std::erase_if(recent, [now](const LocalAdmission& entry) { return now - entry.at > kReportDelayLimit; });
+  const std::uint64_t own =
+      std::accumulate(recent.begin(), recent.end(), std::uint64_t{0},
+                      [](std::uint64_t sum, const LocalAdmission& entry) { return sum + entry.tokens; });
   const std::uint64_t known = waiting(request.route);
   const std::uint64_t settled = known > own ? known - own : 0;
   const std::uint64_t nodes = std::max<std::size_t>(1, members_.available(membership::Role::gateway).size());
-  return settled + (own + request.tokens) * nodes <= request.limit / kUnaskedPart;
+  return settled + (own + request.tokens) * nodes <= request.limit / kLocalLimitDivisor;
 }
 
 void queue_limiter::admit(const admission_request& request, AdmissionDone done) {
@@ -277,52 +279,52 @@
     done({admission_verdict::admitted, {}});
     return;
   }
-  if (informed_) {
-    admit_now(request, done);
+  if (view_complete_) {
+    decide_admission(request, done);
     return;
   }
   waiting_for_view_.push_back({request, std::move(done)});
   read_if_needed();
   if (!decision_scheduled_) {
     decision_scheduled_ = true;
-    environment_.after(kViewWait, lifetime_.guard([this] {
+    environment_.after(kMaxViewWait, lifetime_.guard([this] {
       decision_scheduled_ = false;
-      decide_waiting();
+      decide_waiting_requests();
     }));
   }
 }
 
-void queue_limiter::decide_waiting() {
-  std::vector<Asked> waiting;
+void queue_limiter::decide_waiting_requests() {
+  std::vector<PendingAdmission> waiting;
   std::swap(waiting, waiting_for_view_);
-  for (const Asked& asked : waiting) {
-    admit_now(asked.request, asked.done);
+  for (const PendingAdmission& asked : waiting) {
+    decide_admission(asked.request, asked.done);
   }
 }
 
-void queue_limiter::admit_now(const admission_request& request, const AdmissionDone& done) {
-  const bool far_below = fits_unasked(request);
+void queue_limiter::decide_admission(const admission_request& request, const AdmissionDone& done) {
+  const bool far_below = fits_without_keeper(request);
   const wire::MemberT* keeper = membership::ranked_scheduler(members_, keeper_key(request.route));
   if (!far_below && keeper != nullptr && keeper->id != members_.self().id) {
     ask_keeper(*keeper, request, done);
     return;
   }
   const admission outcome = decide(request);
-  record(request, far_below ? "view" : "keeper", outcome);
+  log_admission(request, far_below ? "view" : "keeper", outcome);
   if (outcome.verdict == admission_verdict::full) {
     admit_if_known(request, done);
     return;
   }
   if (outcome.verdict == admission_verdict::admitted) {
     reserve(request);
-    unasked_[request.route].push_back({environment_.now(), request.tokens});
+    local_admissions_[request.route].push_back({environment_.now(), request.tokens});
   }
   done(outcome);
 }
 
 void queue_limiter::ask_keeper(const wire::MemberT& keeper, const admission_request& request, AdmissionDone done) {
   const std::uint64_t number = ++next_request_;
-  asked_[number] = Asked{request, std::move(done)};
+  pending_admissions_[number] = PendingAdmission{request, std::move(done)};
   wire::QueueGrantRequestT message;
   message.request = number;
   message.route = request.route;
@@ -330,12 +332,12 @@
   message.tokens = request.tokens;
   message.limit = request.limit;
   send_message(environment_, PeerAddress(keeper.peer_address), std::move(message));
-  environment_.after(kKeeperAnswers, lifetime_.guard([this, number] {
-    auto node = asked_.extract(number);
+  environment_.after(kKeeperTimeout, lifetime_.guard([this, number] {
+    auto node = pending_admissions_.extract(number);
     if (!node.empty()) {
       counters_["queue_keeper_silent_total"]++;
-      const admission outcome{admission_verdict::unsure, kLeastComeback};
-      record(node.mapped().request, "silent keeper", outcome);
+      const admission outcome{admission_verdict::unsure, kMinRetryAfter};
+      log_admission(node.mapped().request, "silent keeper", outcome);
       node.mapped().done(outcome);
     }
   }));
@@ -356,21 +358,21 @@
 }
 
 void queue_limiter::handle(const wire::QueueGrantReplyT& message) {
-  auto node = asked_.extract(message.request);
+  auto node = pending_admissions_.extract(message.request);
   if (node.empty()) {
     return;  // the request has timed out
   }
-  const Asked& asked = node.mapped();
+  const PendingAdmission& asked = node.mapped();
   if (message.verdict == wire::QueueVerdict::Full) {
     admit_if_known(asked.request, asked.done);
     return;
   }
-  admission outcome{admission_verdict::unsure, kLeastComeback};
+  admission outcome{admission_verdict::unsure, kMinRetryAfter};
   if (message.verdict == wire::QueueVerdict::Granted) {
-    take(queued_job(asked.request), true);  // a manager's report, if any, is more exact
+    update_view(queued_job(asked.request), true);  // a manager's report, if any, is more exact
     outcome = {admission_verdict::admitted, {}};
   }
-  record(asked.request, "keeper", outcome);
+  log_admission(asked.request, "keeper", outcome);
   asked.done(outcome);
 }
 
@@ -379,18 +381,18 @@
                lifetime_.guard([this, request, done](const Result<ledger::OptionalValue>& result) {
                  admission outcome{admission_verdict::full, time_until_free(request.route, request.tokens)};
                  if (!succeeded(result)) {
-                   outcome = {admission_verdict::unsure, kLeastComeback};
+                   outcome = {admission_verdict::unsure, kMinRetryAfter};
                  } else if (value_of(result)) {
                    outcome = {admission_verdict::admitted, {}};
                  } else {
                    counters_["queue_jobs_refused_full_total"]++;
                  }
-                 record(request, "record", outcome);
+                 log_admission(request, "record", outcome);
                  done(outcome);
                }));
 }
 
-void queue_limiter::record(const admission_request& request, const char* by, const admission& outcome) {
+void queue_limiter::log_admission(const admission_request& request, const char* by, const admission& outcome) {
   const char* verdict = outcome.verdict == admission_verdict::admitted ? "admitted"
                         : outcome.verdict == admission_verdict::full   ? "full"
                                                                        : "unsure";
--- a/src/batch/queue_limiter.hpp
+++ b/src/batch/queue_limiter.hpp
@@ -51,7 +51,7 @@
   void start();
   /// @param limit the lowest limit of any route; 0 if no route has a limit, and then nothing is read or reported.
   void set_least_limit(std::uint64_t limit);
-  bool limited() const { return least_limit_ > 0; }
+  bool limited() const { return lowest_limit_ > 0; }
   /// Decides whether to admit a job; @p done may run before this returns.
   void admit(const admission_request& request, AdmissionDone done);
   /// Releases the tokens of an admitted job that was certainly not accepted, or that has ended.
@@ -69,17 +69,17 @@
   /// @return the tokens that wait on @p route according to this node's view.
   std::uint64_t waiting(const std::string& route) const;
   /// @return whether this node's view is known to contain all open jobs.
-  bool informed() const { return informed_; }
+  bool view_complete() const { return view_complete_; }
 
  private:
-  struct Entry {
+  struct JobEntry {
     std::uint64_t tokens = 0;
     Timestamp heard_at{};
     bool estimated = false;  ///< All tokens of the job, from its record; reports of its manager replace them.
   };
-  using Jobs = std::map<JobId, Entry>;
+  using JobEntries = std::map<JobId, JobEntry>;
   /// An admission request that waits for the keeper's answer or for a complete view.
-  struct Asked {
+  struct PendingAdmission {
     admission_request request;
     AdmissionDone done;
   };
@@ -87,48 +87,49 @@
   void tick();
   void read_if_needed();
   /// Decides on the waiting requests, since the view has become complete or has taken too long.
-  void decide_waiting();
-  void admit_now(const admission_request& request, const AdmissionDone& done);
+  void decide_waiting_requests();
+  void decide_admission(const admission_request& request, const AdmissionDone& done);
   void read_records(std::uint32_t group, const std::string& after);
-  void take(const wire::QueuedJobT& job, bool estimated);
-  void tell(std::vector<wire::QueuedJobT> jobs);
+  void update_view(const wire::QueuedJobT& job, bool estimated);
+  void report_to_peers(std::vector<wire::QueuedJobT> jobs);
   /// @return the interval between two reports of the jobs that this node manages.
   Duration report_interval() const;
   admission decide(const admission_request& request);
   /// @return whether @p request fits even if every node admits as much at the same moment without asking the keeper.
-  bool fits_unasked(const admission_request& request);
+  bool fits_without_keeper(const admission_request& request);
   /// Records that @p request was admitted and reports it to the other nodes.
   void reserve(const admission_request& request);
   void ask_keeper(const wire::MemberT& keeper, const admission_request& request, AdmissionDone done);
   /// Admits a job whose record exists already, since it takes no further tokens; refuses any other as full.
   void admit_if_known(const admission_request& request, const AdmissionDone& done);
   Duration time_until_free(const std::string& route, std::uint64_t tokens) const;
-  void record(const admission_request& request, const char* by, const admission& outcome);
+  void log_admission(const admission_request& request, const char* by, const admission& outcome);
 
   Environment& environment_;
   Counters& counters_;
   ledger::Client& ledger_;
   membership::Membership& members_;
   DecisionLog& log_;
-  std::map<std::string, Jobs> routes_;
+  std::map<std::string, JobEntries> routes_;
   std::map<JobId, Timestamp> closed_at_;  ///< Recently closed jobs; older reports of them may still be in transit.
   /// A job that this node admitted by its own decision; the other nodes may not have received the report yet.
-  struct Unasked {
+  struct LocalAdmission {
     Timestamp at{};
     std::uint64_t tokens = 0;
   };
-  std::map<std::string, std::vector<Unasked>> unasked_;  ///< Keyed by route; those of the last kNewsTravel.
-  std::map<std::string, double> freed_per_second_;       ///< Moving average, keyed by route.
-  std::map<JobId, wire::QueuedJobT> told_;               ///< Last reported state of the jobs that this node manages.
-  std::map<std::uint64_t, Asked> asked_;
-  std::vector<Asked> waiting_for_view_;
+  std::map<std::string, std::vector<LocalAdmission>>
+      local_admissions_;                             ///< Keyed by route; those of the last kReportDelayLimit.
+  std::map<std::string, double> freed_per_second_;   ///< Moving average, keyed by route.
+  std::map<JobId, wire::QueuedJobT> last_reported_;  ///< Last reported state of the jobs that this node manages.
+  std::map<std::uint64_t, PendingAdmission> pending_admissions_;
+  std::vector<PendingAdmission> waiting_for_view_;
   bool decision_scheduled_ = false;
   std::uint64_t next_request_ = 0;
   Timestamp ticked_at_{};
   Timestamp refreshed_at_{};
   Timestamp reported_at_{};
-  std::uint64_t least_limit_ = 0;
-  bool informed_ = false;
+  std::uint64_t lowest_limit_ = 0;
+  bool view_complete_ = false;
   bool reading_ = false;
   Lifetime lifetime_;
 };
--- a/src/batch/result_reader.cpp
+++ b/src/batch/result_reader.cpp
@@ -7,10 +7,10 @@
 constexpr Duration kPollInterval = 200ms;
 constexpr std::uint32_t kScanPage = 1000;
 /// Most results that one request asks for; the jobs of known users have at most 200 items.
-constexpr std::size_t kMostFetched = 256;
-constexpr std::size_t kMaxRememberedBytes = 6 << 20;
-constexpr std::size_t kMaxRememberedJobs = 256;
-Error no_job(const JobId& job) { return Error{ErrorKind::not_found, "no job " + job.str()}; }
+constexpr std::size_t kMaxFetchedResults = 256;
+constexpr std::size_t kMaxCachedBytes = 6 << 20;
+constexpr std::size_t kMaxCachedJobs = 256;
+Error no_such_job_error(const JobId& job) { return Error{ErrorKind::not_found, "no job " + job.str()}; }
 }  // namespace
 
 ResultReader::ResultReader(Environment& environment, Counters& counters, ledger::Client& ledger, DecisionLog& log)
@@ -19,23 +19,23 @@
 void ResultReader::read(const JobId& job, std::uint32_t from, std::size_t max_bytes, Duration wait,
                         ResultPageDone done) {
   counters_["batch_result_reads_total"]++;
-  auto reading = std::make_shared<Reading>();
+  auto reading = std::make_shared<ReadOperation>();
   reading->job = job;
   reading->from = from;
   reading->max_bytes = max_bytes;
   reading->started = environment_.now();
   reading->deadline = reading->started + wait;
-  reading->answer_by = reading->deadline + kAnswerWithin;
+  reading->answer_by = reading->deadline + kAnswerTimeout;
   reading->done = std::move(done);
-  environment_.after(wait + kAnswerWithin,
+  environment_.after(wait + kAnswerTimeout,
                      lifetime_.guard([this, reading] { answer(reading, "the answer deadline has passed"); }));
-  with_job(job, reading->answer_by, [this, reading](Result<Known*> result) {
+  with_cached_job(job, reading->answer_by, [this, reading](Result<CachedJob*> result) {
     if (!succeeded(result) && error_of(result).kind == ErrorKind::not_found) {
       finish(reading, error_of(result));
     } else if (!succeeded(result)) {
       fail(reading, "job", error_of(result).detail);
     } else if (!reading->answered) {
-      reading->holds_job = true;
+      reading->counted_as_reader = true;
       ++value_of(result)->readers;
       read_order(reading);
     }
@@ -43,8 +43,8 @@
 }
 
 /// Calls @p next with the cached entry of @p job; reads the job's record first if the job is not cached.
-void ResultReader::with_job(const JobId& job, Timestamp until, std::function<void(Result<Known*>)> next) {
-  if (const auto entry = known_.find(job); entry != known_.end()) {
+void ResultReader::with_cached_job(const JobId& job, Timestamp until, std::function<void(Result<CachedJob*>)> next) {
+  if (const auto entry = cached_jobs_.find(job); entry != cached_jobs_.end()) {
     entry->second.used_at = environment_.now();
     next(&entry->second);
     return;
@@ -57,8 +57,8 @@
     for (const ledger::ScanRecord& entry : value_of(result).records) {
       const auto record = entry.key == job_key(job) ? wire::decode_record<wire::JobRecordT>(entry.value) : std::nullopt;
       if (record) {
-        forget_old();
-        Known& known = known_[job];
+        evict_old_jobs();
+        CachedJob& known = cached_jobs_[job];
         known.total = record->items;
         known.submission = record->submission;
         known.used_at = environment_.now();
@@ -66,31 +66,31 @@
         return;
       }
     }
-    next(no_job(job));
+    next(no_such_job_error(job));
   };
-  ledger_.scan_within(left_until(until), job_key(job), 2, lifetime_.guard(take));
+  ledger_.scan_within(time_left_until(until), job_key(job), 2, lifetime_.guard(take));
 }
 
-void ResultReader::forget_old() {
-  while (known_.size() >= kMaxRememberedJobs || bytes_ > kMaxRememberedBytes) {
-    auto oldest = known_.end();
-    for (auto entry = known_.begin(); entry != known_.end(); ++entry) {
-      const bool older = oldest == known_.end() || entry->second.used_at < oldest->second.used_at;
+void ResultReader::evict_old_jobs() {
+  while (cached_jobs_.size() >= kMaxCachedJobs || cached_bytes_ > kMaxCachedBytes) {
+    auto oldest = cached_jobs_.end();
+    for (auto entry = cached_jobs_.begin(); entry != cached_jobs_.end(); ++entry) {
+      const bool older = oldest == cached_jobs_.end() || entry->second.used_at < oldest->second.used_at;
       oldest = entry->second.readers == 0 && older ? entry : oldest;
     }
-    if (oldest == known_.end()) {
+    if (oldest == cached_jobs_.end()) {
       return;  // every job is being read
     }
-    bytes_ -= oldest->second.bytes;
-    known_.erase(oldest);
+    cached_bytes_ -= oldest->second.bytes;
+    cached_jobs_.erase(oldest);
   }
 }
 
-void ResultReader::read_order(const ReadingPointer& reading) {
+void ResultReader::read_order(const ReadOperationPointer& reading) {
   if (reading->answered) {
     return;
   }
-  const Known& before = known_.at(reading->job);
+  const CachedJob& before = cached_jobs_.at(reading->job);
   if (before.order.size() == before.total) {
     reading->order_read = true;
     read_results(reading);
@@ -105,7 +105,7 @@
       return;
     }
     reading->order_read = true;
-    Known& known = known_.at(reading->job);
+    CachedJob& known = cached_jobs_.at(reading->job);
     std::vector<std::uint32_t> order;
     for (const ledger::ScanRecord& record : value_of(result).records) {
       if (const auto segment = wire::decode_record<wire::OrderRecordT>(record.value)) {
@@ -123,26 +123,27 @@
     }
     read_results(reading);
   };
-  ledger_.scan_within(left_until(reading->answer_by), order_prefix(reading->job), kScanPage, lifetime_.guard(take));
+  ledger_.scan_within(time_left_until(reading->answer_by), order_prefix(reading->job), kScanPage,
+                      lifetime_.guard(take));
 }
 
-void ResultReader::remember(Known& known, wire::ResultRecordT record) {
+void ResultReader::cache_result(CachedJob& known, wire::ResultRecordT record) {
   const std::uint32_t index = record.index;
   const std::size_t size = record.body.size();
   if (known.results.emplace(index, std::move(record)).second) {
     known.bytes += size;
-    bytes_ += size;
+    cached_bytes_ += size;
   }
 }
 
 /// Results are written before they are listed, so all listed results can be read. One request fetches all results that
 /// are missing. With one request for each result, retried when slow, a busy group never answered: in a simulation of 32
 /// callers and machines with a tenth of a core, none of 32 jobs was read completely after 15 s.
-void ResultReader::read_results(const ReadingPointer& reading) {
-  const Known& known = known_.at(reading->job);
+void ResultReader::read_results(const ReadOperationPointer& reading) {
+  const CachedJob& known = cached_jobs_.at(reading->job);
   std::vector<std::string> missing;
   for (std::size_t position = reading->from; position < known.order.size(); ++position) {
-    if (missing.size() == kMostFetched) {
+    if (missing.size() == kMaxFetchedResults) {
       break;
     }
     if (!known.results.contains(known.order[position])) {
@@ -154,33 +155,33 @@
     return;
   }
   ledger_.fetch(
-      missing, reading->max_bytes, left_until(reading->answer_by),
+      missing, reading->max_bytes, time_left_until(reading->answer_by),
       lifetime_.guard([this, reading](const Result<ledger::ScanPage>& result) { take_results(reading, result); }));
 }
 
-void ResultReader::take_results(const ReadingPointer& reading, const Result<ledger::ScanPage>& result) {
-  const auto known = known_.find(reading->job);
-  if (known != known_.end() && succeeded(result)) {
+void ResultReader::take_results(const ReadOperationPointer& reading, const Result<ledger::ScanPage>& result) {
+  const auto known = cached_jobs_.find(reading->job);
+  if (known != cached_jobs_.end() && succeeded(result)) {
     for (const ledger::ScanRecord& record : value_of(result).records) {
       if (auto decoded = wire::decode_record<wire::ResultRecordT>(record.value)) {
-        remember(known->second, std::move(*decoded));
+        cache_result(known->second, std::move(*decoded));
       }
     }
   }
   answer(reading, succeeded(result) ? "the replies hold no value of the first result" : error_of(result).detail);
 }
 
-void ResultReader::answer(const ReadingPointer& reading, const std::string& failure) {
+void ResultReader::answer(const ReadOperationPointer& reading, const std::string& failure) {
   if (reading->answered) {
     return;
   }
-  const auto entry = known_.find(reading->job);
-  if (!reading->order_read || entry == known_.end()) {
+  const auto entry = cached_jobs_.find(reading->job);
+  if (!reading->order_read || entry == cached_jobs_.end()) {
     // An empty page would mean that the job has no results.
-    fail(reading, reading->holds_job ? "order" : "job", failure);
+    fail(reading, reading->counted_as_reader ? "order" : "job", failure);
     return;
   }
-  const Known& known = entry->second;
+  const CachedJob& known = entry->second;
   ResultPage page;
   page.total = known.total;
   page.from = reading->from;
@@ -203,7 +204,7 @@
   finish(reading, std::move(page));
 }
 
-void ResultReader::fail(const ReadingPointer& reading, const char* stage, const std::string& reason) {
+void ResultReader::fail(const ReadOperationPointer& reading, const char* stage, const std::string& reason) {
   if (reading->answered) {
     return;
   }
@@ -216,12 +217,12 @@
   finish(reading, Error{ErrorKind::unavailable, "the job's results cannot be read now"});
 }
 
-void ResultReader::finish(const ReadingPointer& reading, Result<ResultPage> result) {
+void ResultReader::finish(const ReadOperationPointer& reading, Result<ResultPage> result) {
   if (reading->answered) {
     return;
   }
   reading->answered = true;
-  if (const auto known = known_.find(reading->job); reading->holds_job && known != known_.end()) {
+  if (const auto known = cached_jobs_.find(reading->job); reading->counted_as_reader && known != cached_jobs_.end()) {
     --known->second.readers;
   }
   const ResultPageDone done = std::move(reading->done);
@@ -229,8 +230,8 @@
 }
 
 void ResultReader::read_item(const JobId& job, const std::string& item_id, ItemBodyDone done) {
-  const Timestamp until = environment_.now() + kAnswerWithin;
-  with_job(job, until, [this, job, item_id, done, until](Result<Known*> result) {
+  const Timestamp until = environment_.now() + kAnswerTimeout;
+  with_cached_job(job, until, [this, job, item_id, done, until](Result<CachedJob*> result) {
     if (!succeeded(result)) {
       done(error_of(result));
       return;
@@ -253,7 +254,7 @@
       }
       done(Error{ErrorKind::not_found, "job " + job.str() + " has no item " + item_id});
     };
-    ledger_.scan_within(left_until(until), prefix, kScanPage, lifetime_.guard(take));
+    ledger_.scan_within(time_left_until(until), prefix, kScanPage, lifetime_.guard(take));
   });
 }
 
--- a/src/batch/submission.cpp
+++ b/src/batch/submission.cpp
@@ -83,8 +83,8 @@
   }
   if (done_ && (chunks_in_flight_ == 0 || failure_)) {
     accept_job();
-  } else if (room_ && !congested()) {
-    room_();
+  } else if (room_hook_ && !congested()) {
+    room_hook_();
   }
 }
 
--- a/src/batch/submission.hpp
+++ b/src/batch/submission.hpp
@@ -50,7 +50,7 @@
   Status add(std::string_view item, std::uint32_t tokens = 0);
   /// @return whether the caller should add no more items until the hook of on_room() runs.
   bool congested() const { return chunks_in_flight_ >= kMaxChunksInFlight; }
-  void on_room(std::function<void()> hook) { room_ = std::move(hook); }
+  void on_room(std::function<void()> hook) { room_hook_ = std::move(hook); }
   /// Called once all items have been added; @p done gets the stored job.
   void finish(SubmitDone done);
   std::uint32_t items() const { return items_; }
@@ -87,7 +87,7 @@
   std::size_t window_bytes_ = 0;  ///< Bytes of this submission that count in the window.
   Timestamp entered_at_{};
   std::optional<Error> failure_;
-  std::function<void()> room_;
+  std::function<void()> room_hook_;
   SubmitDone done_;
   Lifetime lifetime_;
 };
--- a/src/batch/submission_window.hpp
+++ b/src/batch/submission_window.hpp
@@ -16,14 +16,14 @@
 };
 
 struct submission_window_limits {
-  std::size_t first_bytes = 8 << 20;  ///< Initial window of a node.
-  std::size_t least_bytes = 1 << 20;
-  std::size_t most_bytes = 16 << 20;
-  Duration good_within = 1s;    ///< The window grows when a job is stored within this time.
-  Duration bad_after = 2500ms;  ///< The window is halved when a job took longer or failed; writes time out after 4 s.
-  Duration cut_pause = 1s;      ///< Least time between two cuts, since jobs written at the same time fail together.
-  Duration least_retry_after = 500ms;
-  Duration most_retry_after = 10s;
+  std::size_t initial_window_bytes = 8 << 20;  ///< Initial window of a node.
+  std::size_t min_window_bytes = 1 << 20;
+  std::size_t max_window_bytes = 16 << 20;
+  Duration grow_within = 1s;    ///< The window grows when a job is stored within this time.
+  Duration cut_after = 2500ms;  ///< The window is halved when a job took longer or failed; writes time out after 4 s.
+  Duration min_cut_interval = 1s;  ///< Least time between two cuts, since jobs written at the same time fail together.
+  Duration min_retry_after = 500ms;
+  Duration max_retry_after = 10s;
 };
 
 /// Congestion window for job submissions. A job is stored whole or not at all, so if more bytes are written than the
@@ -46,7 +46,7 @@
   void leave(std::size_t bytes, Duration took, submission_end end);
   /// @return the time after which a refused job is likely to be admitted.
   Duration retry_after() const;
-  std::size_t window_bytes() const { return window_; }
+  std::size_t window_bytes() const { return window_bytes_; }
 
  private:
   void note_rate(std::size_t bytes, Duration took);
@@ -58,8 +58,8 @@
   Counters& counters_;
   DecisionLog& log_;
   const submission_window_limits limits_;
-  std::size_t window_;
-  std::size_t in_flight_ = 0;
+  std::size_t window_bytes_;
+  std::size_t in_flight_bytes_ = 0;
   double bytes_per_second_ = 0;  ///< Smoothed rate of stored bytes; 0 before the first.
   Timestamp last_stored_at_{};
   Timestamp cut_at_{};
--- a/tests/batch/dispatcher_test.cpp
+++ b/tests/batch/dispatcher_test.cpp
@@ -154,7 +154,7 @@
   REQUIRE(fixture.dispatcher.owns(fixture.engine));
   const auto asked = [&fixture] {
     std::size_t times = 0;
-    for (std::uint64_t round = 0; round < Dispatcher::kIdleRounds; ++round) {
+    for (std::uint64_t round = 0; round < Dispatcher::kIdlePollRounds; ++round) {
       times += fixture.dispatcher.worth_asking(round).size();
     }
     return times;
@@ -165,12 +165,12 @@
   activity.gateway = "gateway-1";
   activity.in_flight = 1;
   fixture.dispatcher.handle(activity);
-  CHECK(asked() == Dispatcher::kIdleRounds);
+  CHECK(asked() == Dispatcher::kIdlePollRounds);
   activity.in_flight = 0;
   fixture.dispatcher.handle(activity);
   CHECK(asked() == 1);
   fixture.give_item();
-  CHECK(asked() == Dispatcher::kIdleRounds);
+  CHECK(asked() == Dispatcher::kIdlePollRounds);
 }
 
 // The network may duplicate a message. An item that arrived twice was run twice at the same time; an item that engines
--- a/tests/batch/job_manager_test.cpp
+++ b/tests/batch/job_manager_test.cpp
@@ -17,7 +17,7 @@
 const PeerAddress kOther("other:1");
 const PeerAddress kLedger("ledger");
 const std::string kJob = "job-1";
-constexpr std::uint32_t kMadeEvents = 219;
+constexpr std::uint32_t kPartialEvents = 219;
 
 wire::MemberT scheduler(const std::string& id, const PeerAddress& address) {
   wire::MemberT member;
@@ -109,7 +109,7 @@
     message.index = index;
     message.held = held;
     message.partial = "made so far";
-    message.partial_tokens = kMadeEvents;
+    message.partial_tokens = kPartialEvents;
     return message;
   }
   /// @return indexes of the items that the manager hands out to a scheduler that asks for all.
@@ -145,7 +145,7 @@
   std::size_t answered = 0;
 
   /// Makes this node the owner of the job, whatever the ranking says.
-  void leave_other() {
+  void make_other_leave() {
     wire::MemberSyncT list;
     auto other = std::make_unique<wire::MemberT>(scheduler("other", kOther));
     other->state = wire::MemberState::Leaving;
@@ -159,7 +159,7 @@
 TEST_CASE("messages about a job that is not open yet are applied once it is: no item runs twice, no progress is lost") {
   // Guards against new managers handing out running items again when several managers leave one after the other.
   ManagerFixture fixture;
-  fixture.leave_other();
+  fixture.make_other_leave();
   fixture.manager.handle(kOther, fixture.settled(0, true));
   fixture.run(700ms);
   const std::vector<std::uint32_t> given = fixture.take_all();
@@ -170,7 +170,7 @@
 TEST_CASE("a manager that leaves hands over the progress of its items") {
   // Guards against loss of progress: an item with 219 events was restarted from 0 after its manager had left.
   ManagerFixture fixture;
-  fixture.leave_other();
+  fixture.make_other_leave();
   fixture.manager.handle(kOther, fixture.settled(1, false));
   fixture.run(700ms);
   wire::MemberSyncT list;
@@ -186,7 +186,7 @@
     const auto& message = fixture.environment.sent[position];
     if (message.body.type == wire::Message::ItemSettled && message.to == kOther) {
       handed_over =
-          message.body.AsItemSettled()->index == 1 && message.body.AsItemSettled()->partial_tokens == kMadeEvents;
+          message.body.AsItemSettled()->index == 1 && message.body.AsItemSettled()->partial_tokens == kPartialEvents;
     }
   }
   CHECK(handed_over);
@@ -194,7 +194,7 @@
 
 TEST_CASE("queued tokens are those of the items that are not settled") {
   ManagerFixture fixture;
-  fixture.leave_other();
+  fixture.make_other_leave();
   wire::JobNoticeT notice;
   notice.job = kJob;
   fixture.manager.handle(notice);
@@ -215,7 +215,7 @@
 // left for the job, and the item was neither run nor listed.
 TEST_CASE("an item that no dispatcher confirms to hold is handed out again within 3 s") {
   ManagerFixture fixture;
-  fixture.leave_other();
+  fixture.make_other_leave();
   wire::JobNoticeT notice;
   notice.job = kJob;
   fixture.manager.handle(notice);
@@ -238,7 +238,7 @@
 }
 
 void open_job(ManagerFixture& fixture) {
-  fixture.leave_other();
+  fixture.make_other_leave();
   wire::JobNoticeT notice;
   notice.job = kJob;
   fixture.manager.handle(notice);
--- a/tests/batch/queue_limiter_test.cpp
+++ b/tests/batch/queue_limiter_test.cpp
@@ -18,9 +18,9 @@
 constexpr std::uint64_t kLimit = 100;
 
 /// Limiters of several nodes over a network without loss; an empty replica answers on behalf of the ledger.
-class Fleet {
+class LimiterFleet {
  public:
-  explicit Fleet(unsigned count, std::uint64_t seed = 1) : world(seed) {
+  explicit LimiterFleet(unsigned count, std::uint64_t seed = 1) : world(seed) {
     for (unsigned number = 0; number < count; ++number) {
       nodes_.push_back(std::make_unique<Node>(*this, number));
     }
@@ -36,10 +36,10 @@
 
   queue_limiter& at(unsigned number) { return nodes_[number]->limiter; }
   /// Makes node @p number lose all incoming messages, or receive them again.
-  void set_deaf(unsigned number, bool deaf) { nodes_[number]->deaf = deaf; }
+  void set_losing_messages(unsigned number, bool losing_messages) { nodes_[number]->losing_messages = losing_messages; }
 
   /// Asks node @p number to admit a job; that node manages the job if it is admitted.
-  void ask(unsigned number, const std::string& job, std::uint64_t tokens) {
+  void request_admission(unsigned number, const std::string& job, std::uint64_t tokens) {
     Node& node = *nodes_[number];
     node.limiter.admit({kRoute, JobId(job), tokens, kLimit}, [this, &node, job, tokens](const admission& outcome) {
       verdicts[job] = outcome;
@@ -77,7 +77,7 @@
 
  private:
   struct Node : Environment {
-    Node(Fleet& fleet, unsigned number)
+    Node(LimiterFleet& fleet, unsigned number)
         : fleet(fleet),
           members(*this, counters, self_of(number), {PeerAddress("p0")}, hooks()),
           ledger(*this, counters, [](const NodeId& node) { return std::optional(PeerAddress(node.str())); }),
@@ -120,19 +120,19 @@
       limiter.set_managed(jobs);
     }
 
-    Fleet& fleet;
+    LimiterFleet& fleet;
     Counters counters;
     NoDecisionLog log;
     membership::Membership members;
     ledger::Client ledger;
     queue_limiter limiter;
     std::map<std::string, std::uint64_t> managed;
-    bool deaf = false;
+    bool losing_messages = false;
   };
 
   void deliver(const PeerAddress& sender, const PeerAddress& to, const wire::MessageUnion& body) {
     for (auto& node : nodes_) {
-      if (node->members.self().peer_address == to.str() && !node->deaf) {
+      if (node->members.self().peer_address == to.str() && !node->losing_messages) {
         dispatch(*node, sender, body);
       }
       if (to.str() == "ledger" && node->members.self().peer_address == sender.str()) {
@@ -180,46 +180,46 @@
 }  // namespace
 
 TEST_CASE("a job that fits is let in at once, one that does not is refused with a time to come back") {
-  Fleet fleet(3);
-  fleet.ask(0, "a", 60);
+  LimiterFleet fleet(3);
+  fleet.request_admission(0, "a", 60);
   fleet.world.run_for(50ms);
   CHECK(fleet.verdicts["a"].verdict == admission_verdict::admitted);
-  fleet.ask(1, "b", 60);
+  fleet.request_admission(1, "b", 60);
   fleet.world.run_for(50ms);
   CHECK(fleet.verdicts["b"].verdict == admission_verdict::full);
   CHECK(fleet.verdicts["b"].retry_after >= 300ms);
   CHECK(fleet.verdicts["b"].retry_after <= 4s);
-  fleet.ask(2, "c", 40);
+  fleet.request_admission(2, "c", 40);
   fleet.world.run_for(50ms);
   CHECK(fleet.verdicts["c"].verdict == admission_verdict::admitted);
 }
 
 TEST_CASE("what has finished makes room on every node") {
-  Fleet fleet(3);
-  fleet.ask(0, "a", 100);
+  LimiterFleet fleet(3);
+  fleet.request_admission(0, "a", 100);
   fleet.world.run_for(50ms);
   fleet.finish(0, "a");
   fleet.world.run_for(300ms);
-  fleet.ask(1, "b", 100);
+  fleet.request_admission(1, "b", 100);
   fleet.world.run_for(50ms);
   CHECK(fleet.verdicts["b"].verdict == admission_verdict::admitted);
 }
 
 TEST_CASE("a job that is sent again takes no further room") {
-  Fleet fleet(3);
-  fleet.ask(0, "a", 80);
+  LimiterFleet fleet(3);
+  fleet.request_admission(0, "a", 80);
   fleet.world.run_for(50ms);
-  fleet.ask(1, "a", 80);
+  fleet.request_admission(1, "a", 80);
   fleet.world.run_for(50ms);
   CHECK(fleet.verdicts["a"].verdict == admission_verdict::admitted);
   CHECK(fleet.at(2).waiting(kRoute) == 80);
 }
 
 TEST_CASE("two nodes asked at the same moment never give the same room away") {
-  Fleet fleet(4);
+  LimiterFleet fleet(4);
   for (unsigned round = 0; round < 5; ++round) {
     for (unsigned node = 0; node < 4; ++node) {
-      fleet.ask(node, "job-" + std::to_string(round) + "-" + std::to_string(node), 30);
+      fleet.request_admission(node, "job-" + std::to_string(round) + "-" + std::to_string(node), 30);
     }
   }
   fleet.world.run_for(1s);
@@ -229,13 +229,13 @@
 }
 
 TEST_CASE("a node that has not read the open jobs lets nothing in") {
-  Fleet fleet(2);
-  CHECK(fleet.at(0).informed());
+  LimiterFleet fleet(2);
+  CHECK(fleet.at(0).view_complete());
   fleet.world.run_for(500ms);
-  fleet.set_deaf(0, true);
-  fleet.set_deaf(1, true);
-  fleet.ask(0, "a", 60);
-  fleet.ask(1, "b", 60);
+  fleet.set_losing_messages(0, true);
+  fleet.set_losing_messages(1, true);
+  fleet.request_admission(0, "a", 60);
+  fleet.request_admission(1, "b", 60);
   fleet.world.run_for(1s);
   const unsigned unsure = (fleet.verdicts["a"].verdict == admission_verdict::unsure ? 1 : 0) +
                           (fleet.verdicts["b"].verdict == admission_verdict::unsure ? 1 : 0);
@@ -244,7 +244,7 @@
 
 TEST_CASE("what waits never passes the limit and what fits is let in, whoever is asked and when") {
   rc::prop("waiting <= limit, and what fits is let in", [] {
-    Fleet fleet(4, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
+    LimiterFleet fleet(4, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
     std::map<std::string, unsigned> open;
     const auto steps = *rc::gen::inRange(10, 60);
     for (int step = 0; step < steps; ++step) {
@@ -257,7 +257,7 @@
           fleet.world.run_for(600ms);
         }
         const bool fits = fleet.waiting() + tokens <= kLimit;
-        fleet.ask(node, job, tokens);
+        fleet.request_admission(node, job, tokens);
         open[job] = node;
         if (calm) {
           fleet.world.run_for(20ms);
--- a/tests/batch/result_reader_test.cpp
+++ b/tests/batch/result_reader_test.cpp
@@ -14,43 +14,43 @@
 constexpr std::uint32_t kItems = 70;
 constexpr std::size_t kResultBytes = 10'000;
 /// Processing time of a request, and of each kilobyte of its answer, on a tenth of a core.
-constexpr Duration kPerQuestion = 1ms;
-constexpr Duration kPerKilobyte = 20us;
-constexpr Duration kCallersPatience = 1500ms;  ///< Time after the wait that a caller allows.
-constexpr Duration kPause = 300ms;
+constexpr Duration kTimePerRequest = 1ms;
+constexpr Duration kTimePerKilobyte = 20us;
+constexpr Duration kCallerTimeout = 1500ms;  ///< Time after the wait that a caller allows.
+constexpr Duration kRetryPause = 300ms;
 
 /// A caller that reads a job from its first result on: after each failure or timeout it retries at the next gateway.
-struct persistent_caller {
-  persistent_caller(slow_group& nodes, JobId wanted, unsigned first, unsigned count)
+struct retrying_caller {
+  retrying_caller(slow_group& nodes, JobId wanted, unsigned first, unsigned count)
       : group(nodes), job(std::move(wanted)), gateway(first), gateways(std::max(1U, count)) {}
 
   void ask() {
     const std::uint64_t call = ++calls;
     group.reader(gateway++ % gateways)
         .read(job, position, kPageBytes, Duration::zero(), [this, call](const auto& page) { take(call, page); });
-    group.world.schedule(kCallersPatience, [this, call] { come_back(call); });
+    group.world.schedule(kCallerTimeout, [this, call] { retry(call); });
   }
   void take(std::uint64_t call, const Result<ResultPage>& result) {
-    if (call != calls || whole()) {
+    if (call != calls || complete()) {
       return;  // the caller has given up on this call
     }
     if (!succeeded(result) || value_of(result).results.empty()) {
-      group.world.schedule(kPause, [this, call] { come_back(call); });
+      group.world.schedule(kRetryPause, [this, call] { retry(call); });
       return;
     }
     position += static_cast<std::uint32_t>(value_of(result).results.size());
-    if (whole()) {
-      whole_at = group.world.now();
+    if (complete()) {
+      completed_at = group.world.now();
     } else {
       ask();
     }
   }
-  void come_back(std::uint64_t call) {
-    if (call == calls && !whole()) {
+  void retry(std::uint64_t call) {
+    if (call == calls && !complete()) {
       ask();
     }
   }
-  bool whole() const { return position == kItems; }
+  bool complete() const { return position == kItems; }
 
   slow_group& group;
   const JobId job;
@@ -58,7 +58,7 @@
   const unsigned gateways = 1;
   std::uint32_t position = 0;
   std::uint64_t calls = 0;
-  Timestamp whole_at{};
+  Timestamp completed_at{};
 };
 
 }  // namespace
@@ -72,34 +72,34 @@
 TEST_CASE("results are read when many callers read at the same time from a group on slow machines") {
   constexpr unsigned kGateways = 40;
   constexpr unsigned kCallers = 32;
-  slow_group group(kGateways, kPerQuestion, kPerKilobyte);
-  std::vector<std::unique_ptr<persistent_caller>> callers;
+  slow_group group(kGateways, kTimePerRequest, kTimePerKilobyte);
+  std::vector<std::unique_ptr<retrying_caller>> callers;
   for (unsigned number = 0; number < kCallers; ++number) {
     const JobId job = group.add_job("job-" + std::to_string(number), kItems, kResultBytes);
-    callers.push_back(std::make_unique<persistent_caller>(group, job, number, kGateways));
+    callers.push_back(std::make_unique<retrying_caller>(group, job, number, kGateways));
   }
   const Timestamp began = group.world.now();
   for (const auto& caller : callers) {
     caller->ask();
   }
   group.world.run_for(15s);
-  unsigned whole = 0;
+  unsigned complete = 0;
   Timestamp last = began;
   for (const auto& caller : callers) {
-    whole += caller->whole() ? 1 : 0;
-    last = std::max(last, caller->whole_at);
+    complete += caller->complete() ? 1 : 0;
+    last = std::max(last, caller->completed_at);
   }
   INFO("the last after " << (last - began) / 1ms << " ms, " << group.questions() << " requests, "
                          << group.value_bytes() / 1'000'000 << " MB of values");
-  CHECK(whole == kCallers);
+  CHECK(complete == kCallers);
 }
 TEST_CASE("a page of results takes a few requests to its group, however many results it has") {
-  slow_group group(1, kPerQuestion, kPerKilobyte);
-  persistent_caller caller(group, group.add_job("job", kItems, kResultBytes), 0, 1);
+  slow_group group(1, kTimePerRequest, kTimePerKilobyte);
+  retrying_caller caller(group, group.add_job("job", kItems, kResultBytes), 0, 1);
   const std::uint64_t before = group.questions();
   caller.ask();
   group.world.run_for(1s);
-  CHECK(caller.whole());
+  CHECK(caller.complete());
   constexpr std::uint64_t kStages = 3;  // the job, its order, the results
   CHECK(group.questions() - before <= (kStages + 1) * slow_group::kReplicas);
 }
@@ -107,17 +107,17 @@
 TEST_CASE("a job is not evicted while it is read, however many others are read meanwhile") {
   constexpr unsigned kJobs = 24;  // 17 MB of results, of which 6 MiB are cached
   slow_group group(1, Duration(10), Duration(0));
-  std::vector<std::unique_ptr<persistent_caller>> callers;
+  std::vector<std::unique_ptr<retrying_caller>> callers;
   for (unsigned number = 0; number < kJobs; ++number) {
     const JobId job = group.add_job("job-" + std::to_string(number), kItems, kResultBytes);
-    callers.push_back(std::make_unique<persistent_caller>(group, job, 0, 1));
+    callers.push_back(std::make_unique<retrying_caller>(group, job, 0, 1));
   }
   for (const auto& caller : callers) {
     caller->ask();
   }
   group.world.run_for(2s);
   for (const auto& caller : callers) {
-    CHECK(caller->whole());
+    CHECK(caller->complete());
   }
   CHECK(group.counters(0)["batch_result_reads_failed_total"] == 0);
 }
@@ -133,7 +133,7 @@
     std::optional<Result<ResultPage>> answer;
     group.reader(0).read(job, 0, kPageBytes, Duration::zero(),
                          [&](Result<ResultPage> page) { answer = std::move(page); });
-    group.world.run_for(kCallersPatience);
+    group.world.run_for(kCallerTimeout);
     INFO("a request takes " << per_question / 1ms << " ms");
     REQUIRE(answer);
     CHECK((!succeeded(*answer) || !value_of(*answer).results.empty()));
@@ -147,11 +147,11 @@
   for (unsigned earlier = 1; earlier <= slow_group::kReplicas; ++earlier) {
     INFO(earlier << " replicas run the earlier version");
     slow_group group(1, Duration(10), Duration(0));
-    persistent_caller caller(group, group.add_job("job", kItems, kResultBytes), 0, 1);
+    retrying_caller caller(group, group.add_job("job", kItems, kResultBytes), 0, 1);
     group.run_earlier_version(earlier);
     caller.ask();
     group.world.run_for(3s);
-    CHECK(caller.whole());
+    CHECK(caller.complete());
     CHECK(group.counters(0)["batch_result_reads_failed_total"] == 0);
   }
 }
--- a/tests/batch/submission_window_test.cpp
+++ b/tests/batch/submission_window_test.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::size_t kJobBytes = 2'000'000;
-constexpr Duration kWriteTime = 4s;        ///< Timeout of a write.
-constexpr Duration kCallersPause = 300ms;  ///< Time after which a caller submits its job again.
+constexpr Duration kWriteTimeout = 4s;   ///< Timeout of a write.
+constexpr Duration kRetryPause = 300ms;  ///< Time after which a caller submits its job again.
 
 struct window_fixture {
   TestEnvironment environment;
@@ -33,7 +33,7 @@
     const auto work = std::chrono::microseconds(bytes * 1'000'000 / bytes_per_s_);
     free_at_ = std::max(free_at_, environment_.now()) + work;
     const Duration took = free_at_ - environment_.now();
-    environment_.after(std::min(took, kWriteTime), [done = std::move(done), took] { done(took < kWriteTime); });
+    environment_.after(std::min(took, kWriteTimeout), [done = std::move(done), took] { done(took < kWriteTimeout); });
   }
 
  private:
@@ -43,9 +43,9 @@
 };
 
 /// Callers that submit their jobs again until they are stored.
-class persistent_submitters {
+class retrying_submitters {
  public:
-  persistent_submitters(window_fixture& node, busy_ledger& ledger, bool limited)
+  retrying_submitters(window_fixture& node, busy_ledger& ledger, bool limited)
       : node_(node), ledger_(ledger), limited_(limited) {}
 
   void submit() {
@@ -70,7 +70,7 @@
     }
     ++(in_time ? stored : failed);
     if (!in_time) {
-      node_.environment.after(kCallersPause, [this] { submit(); });
+      node_.environment.after(kRetryPause, [this] { submit(); });
     }
   }
 
@@ -91,7 +91,7 @@
   const bool limited = GENERATE(false, true);
   window_fixture node;
   busy_ledger ledger(node.environment, kBytesPerS);
-  persistent_submitters submitters(node, ledger, limited);
+  retrying_submitters submitters(node, ledger, limited);
   for (unsigned number = 0; number < kJobs; ++number) {
     submitters.submit();
   }
@@ -113,17 +113,17 @@
       node.window.leave(kJobBytes, 50ms, submission_end::stored);
     }
     CHECK(node.window.window_bytes() > first);
-    CHECK(node.window.window_bytes() <= submission_window_limits{}.most_bytes);
+    CHECK(node.window.window_bytes() <= submission_window_limits{}.max_window_bytes);
   }
   SECTION("one job makes it grow by its own size at most") {
     const std::size_t large = 2 * first;
     REQUIRE(node.window.enter(large));
     node.window.leave(large, 50ms, submission_end::stored);
-    CHECK(node.window.window_bytes() <= std::max(first + large, submission_window_limits{}.most_bytes));
+    CHECK(node.window.window_bytes() <= std::max(first + large, submission_window_limits{}.max_window_bytes));
     for (unsigned number = 0; number < 8; ++number) {
       node.environment.world.run_for(2s);
       REQUIRE(node.window.enter(1));
-      node.window.leave(1, kWriteTime, submission_end::failed);
+      node.window.leave(1, kWriteTimeout, submission_end::failed);
     }
     const std::size_t least = node.window.window_bytes();
     REQUIRE(node.window.enter(3 * least));
@@ -134,13 +134,13 @@
     node.environment.world.run_for(1ms);
     REQUIRE(node.window.enter(kJobBytes));
     REQUIRE(node.window.enter(kJobBytes));
-    node.window.leave(kJobBytes, kWriteTime, submission_end::failed);
-    node.window.leave(kJobBytes, kWriteTime, submission_end::failed);
+    node.window.leave(kJobBytes, kWriteTimeout, submission_end::failed);
+    node.window.leave(kJobBytes, kWriteTimeout, submission_end::failed);
     CHECK(node.window.window_bytes() == first / 2);
   }
   SECTION("a job that its caller abandons does not change it") {
     REQUIRE(node.window.enter(kJobBytes));
-    node.window.leave(kJobBytes, kWriteTime, submission_end::abandoned);
+    node.window.leave(kJobBytes, kWriteTimeout, submission_end::abandoned);
     CHECK(node.window.window_bytes() == first);
     CHECK(node.counters["job_submission_in_flight_bytes"] == 0);
   }
@@ -148,10 +148,10 @@
 
 TEST_CASE("a job larger than the window is admitted when no other job is being written") {
   window_fixture node;
-  const std::size_t large = submission_window_limits{}.most_bytes + 1;
+  const std::size_t large = submission_window_limits{}.max_window_bytes + 1;
   CHECK(node.window.enter(large));
   CHECK_FALSE(node.window.enter(1));
-  CHECK(node.window.retry_after() >= submission_window_limits{}.least_retry_after);
+  CHECK(node.window.retry_after() >= submission_window_limits{}.min_retry_after);
   node.window.leave(large, 1s, submission_end::stored);
   CHECK(node.window.enter(1));
 }
