--- a/src/batch/dispatcher.cpp
+++ b/src/batch/dispatcher.cpp
@@ -17,25 +17,26 @@
 /// practice all, so that the items with the nearest deadlines go first.
 constexpr std::size_t kMaxManagersAskedInLargeFleet = 16;
 /// Runs are moved away from an engine that has sent nothing on any of its calls for this long.
-constexpr Duration kEngineSilenceLimit = 1s;
+constexpr Duration kUnresponsiveEngineTimeout = 1s;
 constexpr Duration kOwnershipInterval = 250ms;
 constexpr Duration kMinAskInterval = 20ms;
 constexpr Duration kMaxAskIntervalBusy = 200ms;  ///< Longest interval while some manager is known to have items.
 constexpr Duration kMaxAskIntervalIdle = 4s;     ///< Longest interval while no manager is known to have items.
 constexpr unsigned kMaxItemFailures = 20;
 constexpr Duration kReportMaxAge = 400ms;  ///< An engine's load report counts for this long.
-/// Lower bound of the time to yield, used until one was observed: messages and one step of the engine.
+/// Lower bound of the time to yield, also used before any was observed: message delays and one step of the engine.
 constexpr Duration kMinTimeToYield = 10ms;
 /// The same where calls are not reported, so that no gateway can observe why a live call waits.
 constexpr Duration kMinTimeToYieldUnobserved = 50ms;
-/// One item in this many running ones is kept queued beyond the free slots, so that a slot that becomes free need not
-/// wait for a request to a manager and its answer.
+/// For this many slots that are free or run an item, one item is kept queued beyond the free slots, so that a slot that
+/// becomes free need not wait for a request to a manager and its answer.
 constexpr std::size_t kReadyItemsDivisor = 4;
 constexpr Duration kRequestMaxAge = 5s;  ///< Answers to older requests for items are not used.
 /// Interval at which held items are confirmed. A manager's item lease lasts three intervals (kItemLease in
 /// job_manager.cpp).
 constexpr Duration kConfirmHeldInterval = 1s;
-/// An item that engines terminated under is not run for this long; then its manager hands it out for one more attempt.
+/// An item during whose runs engines terminated is not run for this long; then its manager hands it out for one more
+/// attempt.
 constexpr Duration kWithholdTime = 30s;
 /// The next dispatcher must know of the engine's termination before it gets the item; that message takes 1 to 5 ms.
 constexpr Duration kBreakNewsDelay = 10ms;
@@ -172,7 +173,7 @@
 std::uint32_t Dispatcher::online_calls_on(const routing::Backend& backend, Engine& engine) const {
   std::uint32_t total = 0;
   for (const auto& [gateway, activity] : engine.gateways) {
-    const bool heard = environment_.now() - activity.heard_at < kActivityMaxAge;
+    const bool heard = environment_.now() - activity.received_at < kActivityMaxAge;
     total += heard ? activity.in_flight : 0;
   }
   if (registry_.knows_calls()) {
@@ -200,7 +201,7 @@
   const Duration observed = policies_.time_to_yield ? policies_.time_to_yield() : Duration::zero();
   const Duration least = registry_.knows_calls() ? kMinTimeToYield : kMinTimeToYieldUnobserved;
   const Timestamp now = environment_.now();
-  double rate = engine.live.per_second(now);
+  double rate = engine.live_call_rate.per_second(now);
   if (policies_.set.headroom_for_peaks && !owned_engines_.empty()) {
     // The peak is measured over all engines of this node: at a single engine a few calls that coincide by chance would
     // look like a burst.
@@ -322,7 +323,7 @@
 }
 
 std::vector<PeerAddress> Dispatcher::managers_to_ask() {
-  std::vector<PeerAddress> candidates(busy_managers_.begin(), busy_managers_.end());
+  std::vector<PeerAddress> candidates(managers_with_items_.begin(), managers_with_items_.end());
   if (candidates.empty()) {
     // No manager is known to have items, but a notice may have been lost.
     candidates = duties_.managers();
@@ -339,7 +340,7 @@
     return;
   }
   ask_interval_ = std::clamp(ask_interval_ * 2, kMinAskInterval,
-                             busy_managers_.empty() ? kMaxAskIntervalIdle : kMaxAskIntervalBusy);
+                             managers_with_items_.empty() ? kMaxAskIntervalIdle : kMaxAskIntervalBusy);
   next_request_at_ = environment_.now() + ask_interval_;
   std::erase_if(requests_,
                 [this](const auto& entry) { return environment_.now() - entry.second.asked_at > kRequestMaxAge; });
@@ -384,11 +385,11 @@
   }
   // Items whose lease expired before they arrived are returned. Asking for them again at once could loop forever.
   if (usable) {
-    busy_managers_.insert(sender);
+    managers_with_items_.insert(sender);
     ask_interval_ = Duration::zero();
     next_request_at_ = Timestamp{};
   } else {
-    busy_managers_.erase(sender);
+    managers_with_items_.erase(sender);
   }
   if (!draining_) {
     fill_engines();
@@ -502,7 +503,7 @@
   RunningItem running;
   running.work = std::move(work);
   running.engine = backend.machine.id;
-  running.started = id;
+  running.start_number = id;
   running.started_at = environment_.now();
   running.resumed_from = running.work.item.partial_tokens;
   Engine& engine = engines_[running.engine];
@@ -781,11 +782,11 @@
   }
   if (message.in_flight > activity.in_flight) {
     const std::uint32_t begun = message.in_flight - activity.in_flight;
-    engine.live.count(environment_.now(), begun);
+    engine.live_call_rate.count(environment_.now(), begun);
     live_call_rate_.count(environment_.now(), begun);
   }
   activity.in_flight = message.in_flight;
-  activity.heard_at = environment_.now();
+  activity.received_at = environment_.now();
   if (guards_.yield_to_online && catalog_.policy().batch_yields) {
     yield_on(id);
   }
@@ -803,7 +804,7 @@
     auto youngest = running_.end();
     for (auto entry = running_.begin(); entry != running_.end(); ++entry) {
       if (entry->second.engine == id &&
-          (youngest == running_.end() || entry->second.started > youngest->second.started)) {
+          (youngest == running_.end() || entry->second.start_number > youngest->second.start_number)) {
         youngest = entry;
       }
     }
@@ -822,12 +823,12 @@
     const auto run = entry++;
     const routing::Backend* backend = registry_.find(run->second.engine);
     const bool silent =
-        backend != nullptr && backend->open_calls > 0 && now - backend->quiet_since > kEngineSilenceLimit;
+        backend != nullptr && backend->open_calls > 0 && now - backend->quiet_since > kUnresponsiveEngineTimeout;
     // A run that has just started may still be waiting for its first event.
-    if (!silent || now - run->second.started_at < kEngineSilenceLimit) {
+    if (!silent || now - run->second.started_at < kUnresponsiveEngineTimeout) {
       continue;
     }
-    engines_[run->second.engine].resume_after = now + kEngineSilenceLimit;
+    engines_[run->second.engine].resume_after = now + kUnresponsiveEngineTimeout;
     counters_["batch_items_left_silent_engines_total"]++;
     requeue(run, 0);
   }
@@ -870,7 +871,7 @@
 void Dispatcher::handle(const wire::JobNoticeT& message) {
   if (!message.cancelled) {
     if (!message.manager.empty()) {
-      busy_managers_.insert(PeerAddress(message.manager));
+      managers_with_items_.insert(PeerAddress(message.manager));
     }
     ask_interval_ = Duration::zero();
     next_request_at_ = Timestamp{};
--- a/src/batch/dispatcher.hpp
+++ b/src/batch/dispatcher.hpp
@@ -103,21 +103,21 @@
     BackendId engine;
     std::uint64_t life = 0;  ///< Lifetime number of the engine when the run was sent to it.
     routing::CallId call = 0;
-    std::uint64_t started = 0;  ///< Sequence number of the start; the latest start yields first.
+    std::uint64_t start_number = 0;  ///< Sequence number of the start; the latest start yields first.
     Timestamp started_at{};
     std::uint32_t resumed_from = 0;  ///< Number of events that earlier runs produced.
     std::optional<Timestamp> first_event_at;
   };
   struct GatewayActivity {
     std::uint32_t in_flight = 0;
-    Timestamp heard_at{};
+    Timestamp received_at{};
     latest_word latest;
   };
   struct Engine {
     std::map<std::string, GatewayActivity> gateways;
     std::size_t running = 0;
     Timestamp resume_after{};
-    policy::rate_meter live;  ///< Rate at which live calls start.
+    policy::rate_meter live_call_rate;  ///< Rate at which live calls start.
   };
 
   void tick();
@@ -133,8 +133,8 @@
   void yield_on(const BackendId& id);
   policy::item_outlook outlook_of(const QueuedItem& work) const;
   void sort_queue();
-  /// Requeues the runs on engines that have sent nothing for kEngineSilenceLimit; the items resume on another engine
-  /// from their last event.
+  /// Requeues the runs on engines that have sent nothing for kUnresponsiveEngineTimeout; the items resume on another
+  /// engine from their last event.
   void requeue_from_unresponsive_engines();
   /// Requeues the runs on engines that another dispatcher owns by now.
   void requeue_from_lost_engines();
@@ -159,9 +159,9 @@
   const routing::request_fingerprint& fingerprint_of(QueuedItem& work) const;
   /// @return whether the repeat guard forbids running @p work at present.
   bool must_withhold(QueuedItem& work);
-  /// Keeps an item that must not be run at present until its manager may hand it out for one more attempt. Once that
-  /// attempt has failed, too, the item fails; if its job has a time at which unfinished items are failed, the item
-  /// stays unrun until then.
+  /// Holds back an item that must not be run at present and returns it to its manager later, for one more attempt. Once
+  /// that attempt has failed, too, the item fails; if its job has a time at which unfinished items fail, the item stays
+  /// unrun until then.
   void withhold(QueuedItem work);
   /// Returns the item of @p run to its manager once it is known whether the engine terminated while running it.
   void return_after_break(RunningItem run);
@@ -212,18 +212,18 @@
   std::map<std::uint64_t, Request> requests_;  ///< Those of the last kRequestMaxAge.
   std::uint64_t next_request_ = 0;
   /// Managers that announced items. They are asked first, and removed once they answer without items.
-  std::set<PeerAddress> busy_managers_;
+  std::set<PeerAddress> managers_with_items_;
   Timestamp next_request_at_{};
   Duration ask_interval_{};  ///< Doubles while no manager has items.
   std::set<BackendId> owned_engines_;
   Timestamp ownership_refreshed_at_{};
-  Timestamp requeued_for_ownership_at_{};  ///< The value of ownership_refreshed_at_ when runs on engines of other
-                                           ///< owners were last requeued.
+  /// The value of ownership_refreshed_at_ when runs on engines of other owners were last requeued.
+  Timestamp requeued_for_ownership_at_{};
   std::uint64_t ownership_members_version_ = 0;
   std::uint64_t ownership_registry_version_ = 0;
   std::map<std::string, Timestamp> route_missing_since_;  ///< Keyed by job.
   RunId next_run_ = 0;
-  std::uint64_t managers_members_version_ = 0;
+  std::uint64_t managers_members_version_ = 0;  ///< Version of members_ at the last update_managers().
   bool draining_ = false;
   Lifetime lifetime_;
 };
--- a/src/batch/job_manager.cpp
+++ b/src/batch/job_manager.cpp
@@ -654,10 +654,10 @@
 
 void JobManager::append_order(const JobId& id) {
   Job& job = jobs_.at(id);
-  if (!job.loaded || job.ordering || job.unlisted_results.empty()) {
+  if (!job.loaded || job.writing_order || job.unlisted_results.empty()) {
     return;
   }
-  job.ordering = true;
+  job.writing_order = true;
   const auto append = [pending = job.unlisted_results, listed = job.listed,
                        guards = guards_](const ledger::OptionalValue& current) -> ledger::OptionalValue {
     auto record = current ? wire::decode_record<wire::OrderRecordT>(*current) : wire::OrderRecordT();
@@ -687,7 +687,7 @@
     return;
   }
   Job& job = entry->second;
-  job.ordering = false;
+  job.writing_order = false;
   if (!succeeded(result) || !value_of(result)) {
     counters_["batch_order_write_failures_total"]++;
     return;  // retried at the next tick
--- a/src/batch/job_manager.hpp
+++ b/src/batch/job_manager.hpp
@@ -88,7 +88,7 @@
     std::set<std::uint32_t> listed;               ///< Items known to be in the order records.
     std::vector<std::uint32_t> unlisted_results;  ///< Settled items that are not in the order records yet.
     std::uint32_t order_segment = 0;
-    bool ordering = false;
+    bool writing_order = false;
     std::set<std::uint32_t> giving_up_items;  ///< Items whose failure is being written, since their time is over.
     /// @return whether results are listed in order records, so that their positions never change.
     bool ordered() const { return !record.host.empty(); }
--- a/src/batch/queue_limiter.cpp
+++ b/src/batch/queue_limiter.cpp
@@ -64,7 +64,7 @@
   view_complete_ = view_complete_ && now - ticked_at_ < kFrozenTickGap;
   ticked_at_ = now;
   for (auto& [route, jobs] : routes_) {
-    std::erase_if(jobs, [now](const auto& entry) { return now - entry.second.heard_at > kJobExpiry; });
+    std::erase_if(jobs, [now](const auto& entry) { return now - entry.second.received_at > kJobExpiry; });
   }
   std::erase_if(closed_at_, [now](const auto& entry) { return now - entry.second > kClosedJobMemory; });
   read_if_needed();
@@ -76,15 +76,15 @@
 }
 
 void queue_limiter::read_if_needed() {
-  if (limited() && !view_complete_ && !reading_ && ledger_.has_group_map()) {
-    reading_ = true;
+  if (limited() && !view_complete_ && !reading_records_ && ledger_.has_group_map()) {
+    reading_records_ = true;
     read_records(0, "");
   }
 }
 
 void queue_limiter::read_records(std::uint32_t group, const std::string& after) {
   if (group >= ledger_.group_map().groups.size()) {
-    reading_ = false;
+    reading_records_ = false;
     view_complete_ = true;
     counters_["queue_views_read_total"]++;
     decide_waiting_requests();
@@ -92,7 +92,7 @@
   }
   const auto take_page = [this, group](const Result<ledger::ScanPage>& result) {
     if (!succeeded(result)) {
-      reading_ = false;  // restarted at the next tick
+      reading_records_ = false;  // restarted at the next tick
       return;
     }
     const ledger::ScanPage& page = value_of(result);
--- a/src/batch/queue_limiter.hpp
+++ b/src/batch/queue_limiter.hpp
@@ -74,7 +74,7 @@
  private:
   struct JobEntry {
     std::uint64_t tokens = 0;
-    Timestamp heard_at{};
+    Timestamp received_at{};
     bool estimated = false;  ///< All tokens of the job, from its record; reports of its manager replace them.
   };
   using JobEntries = std::map<JobId, JobEntry>;
@@ -90,6 +90,8 @@
   void decide_waiting_requests();
   void decide_admission(const admission_request& request, const AdmissionDone& done);
   void read_records(std::uint32_t group, const std::string& after);
+  /// Adds @p job to the view, replaces its entry, or removes the entry of a closed job.
+  /// @param estimated whether the tokens come from the job's record or request and not from a report.
   void update_view(const wire::QueuedJobT& job, bool estimated);
   void report_to_peers(std::vector<wire::QueuedJobT> jobs);
   /// @return the interval between two reports of the jobs that this node manages.
@@ -117,8 +119,8 @@
     Timestamp at{};
     std::uint64_t tokens = 0;
   };
-  std::map<std::string, std::vector<LocalAdmission>>
-      local_admissions_;                             ///< Keyed by route; those of the last kReportDelayLimit.
+  /// Keyed by route; those of the last kReportDelayLimit.
+  std::map<std::string, std::vector<LocalAdmission>> local_admissions_;
   std::map<std::string, double> freed_per_second_;   ///< Moving average, keyed by route.
   std::map<JobId, wire::QueuedJobT> last_reported_;  ///< Last reported state of the jobs that this node manages.
   std::map<std::uint64_t, PendingAdmission> pending_admissions_;
@@ -130,7 +132,7 @@
   Timestamp reported_at_{};
   std::uint64_t lowest_limit_ = 0;
   bool view_complete_ = false;
-  bool reading_ = false;
+  bool reading_records_ = false;
   Lifetime lifetime_;
 };
 
--- a/src/batch/submission_window.cpp
+++ b/src/batch/submission_window.cpp
@@ -6,7 +6,7 @@
 namespace {
 /// Weight of the latest job in the smoothed rate.
 constexpr double kRateWeight = 0.3;
-/// Lower bound of the interval over which the rate is measured, for jobs that are stored at the same moment.
+/// Least interval over which the rate is computed, since jobs stored at the same moment say nothing about the rate.
 constexpr Duration kMinRateInterval = 10ms;
 }  // namespace
 
--- a/tests/batch/dispatcher_test.cpp
+++ b/tests/batch/dispatcher_test.cpp
@@ -173,8 +173,8 @@
   CHECK(asked() == Dispatcher::kIdlePollRounds);
 }
 
-// The network may duplicate a message. An item that arrived twice was run twice at the same time; an item that engines
-// had terminated under was withheld and returned twice, so that its one further attempt was made on two engines.
+// The network may duplicate a message. An item that arrived twice was run twice at the same time; an item during whose
+// runs engines had terminated was withheld and returned twice, so that its one further attempt was made on two engines.
 TEST_CASE("an item whose message is duplicated by the network is accepted once") {
   dispatcher_fixture fixture;
   fixture.give_item();
--- a/tests/batch/result_reader_test.cpp
+++ b/tests/batch/result_reader_test.cpp
@@ -16,7 +16,7 @@
 /// Processing time of a request, and of each kilobyte of its answer, on a tenth of a core.
 constexpr Duration kTimePerRequest = 1ms;
 constexpr Duration kTimePerKilobyte = 20us;
-constexpr Duration kCallerTimeout = 1500ms;  ///< Time after the wait that a caller allows.
+constexpr Duration kCallerTimeout = 1500ms;  ///< Counted from the end of the wait that a caller allows.
 constexpr Duration kRetryPause = 300ms;
 
 /// A caller that reads a job from its first result on: after each failure or timeout it retries at the next gateway.
@@ -141,7 +141,7 @@
 }
 
 // Guards the upgrade from a version whose replicas cannot read records by key: they answer such a request with 0
-// records and the mark that more follow. Newer gateways refused reads with status 503 for as long as such replicas were
+// records and the flag that more follow. Newer gateways refused reads with status 503 for as long as such replicas were
 // among the first to answer.
 TEST_CASE("results are read completely when some replicas run a version that cannot read records by key") {
   for (unsigned earlier = 1; earlier <= slow_group::kReplicas; ++earlier) {
