--- a/tests/policy/headroom_test.cpp
+++ b/tests/policy/headroom_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr double kMissed = 0.05;
 
-/// @return the chance that more than @p free calls arrive within the time to yield.
+/// @return the probability that more than @p free calls arrive within the time to yield.
 double missed(const engine_demand& demand, std::uint32_t free) {
   const double expected = demand.live_per_second * std::chrono::duration<double>(demand.time_to_yield).count();
   double term = std::exp(-expected);
--- a/tests/policy/item_order_test.cpp
+++ b/tests/policy/item_order_test.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 TEST_CASE("an item that can be in time goes before one that can't, whatever its deadline") {
-  // Day scale-1 of bmpua-deck: by deadline alone, 227 of 389 items were late by a little.
+  // With items ordered by deadline alone, 227 of 389 items were slightly late.
   const attainable_order order;
   const item_outlook late{2s, 5s};
   const item_outlook in_time{9s, 5s};
--- a/tests/policy/work_estimate_test.cpp
+++ b/tests/policy/work_estimate_test.cpp
@@ -7,7 +7,7 @@
 using namespace madderdeck;
 using namespace madderdeck::policy;
 
-TEST_CASE("work left follows tokens and what earlier runs have made") {
+TEST_CASE("the estimated work left follows from the tokens and the events of earlier runs") {
   work_estimate estimate;
   CHECK(estimate.work_left("quotes", 1000, 0) == Duration::zero());
   estimate.learn("quotes", {1000, 200, 200, 4s});
@@ -18,13 +18,13 @@
   CHECK(estimate.work_left("others", 1000, 0) == Duration::zero());
 }
 
-TEST_CASE("a resumed run teaches the pace by its own events only") {
+TEST_CASE("a resumed run updates the time per event by its own events only") {
   work_estimate estimate;
   estimate.learn("quotes", {1000, 200, 50, 1s});
   CHECK(estimate.work_left("quotes", 1000, 0) == 4s);
 }
 
-TEST_CASE("the time left counts the pauses of yielding, within bounds") {
+TEST_CASE("the estimated time left includes the times of yielding, within bounds") {
   work_estimate estimate;
   estimate.learn("quotes", {1000, 200, 200, 4s});
   CHECK(estimate.time_left("quotes", 1000, 0) == 4s);
@@ -39,7 +39,7 @@
   CHECK(estimate.time_left("quotes", 1000, 0) <= 12s);
 }
 
-TEST_CASE("a rate rises at once and falls slowly") {
+TEST_CASE("a measured rate rises immediately and falls slowly") {
   rate_meter meter;
   Timestamp now = 10s;
   for (int call = 0; call < 50; ++call) {
@@ -53,9 +53,9 @@
   CHECK(meter.per_second(now + 60s) < 0.1);
 }
 
-// Traffic in waves of 2.4 s every 5.8 s: a wave found engines that batch had filled up to what the pause before asked
-// for, and its first calls waited for batch to yield.
-TEST_CASE("the rate of the latest wave is kept through the pause that follows it") {
+// With traffic in waves of 2.4 s every 5.8 s, batch work left free only the slots that the pause before a wave needed,
+// and the first calls of each wave waited for batch work to yield.
+TEST_CASE("the peak rate of the latest wave is kept through the pause that follows it") {
   rate_meter meter;
   constexpr Duration kWave = 2400ms;
   constexpr Duration kCycle = 5800ms;
@@ -72,5 +72,5 @@
   CHECK(least_after_a_wave > 0.75 * kWaveRate);
   CHECK(meter.peak_per_second(40s) < 1.1 * kWaveRate);
   CHECK(meter.per_second(40s) <= meter.peak_per_second(40s));
-  CHECK(meter.peak_per_second(140s) < 0.05 * kWaveRate);  // traffic that ended is forgotten
+  CHECK(meter.peak_per_second(140s) < 0.05 * kWaveRate);  // the peak decays after the traffic has ended
 }
--- a/tests/routing/live_router_test.cpp
+++ b/tests/routing/live_router_test.cpp
@@ -40,7 +40,7 @@
 };
 }  // namespace
 
-TEST_CASE("a broken stream is taken up elsewhere from the last token") {
+TEST_CASE("a broken stream is resumed on another engine after the last token") {
   RouterFixture fixture;
   fixture.start();
   auto first = fixture.backends.engine_calls.at(0);
@@ -50,8 +50,8 @@
   const auto second = fixture.backends.engine_calls.at(1);
   CHECK(second.call.resume_from == 1);
   CHECK(second.engine != first.engine);
-  first.events.token(1, "LATE");  // of an attempt that was given up
-  second.events.token(0, "a");    // which the caller has
+  first.events.token(1, "LATE");  // from the failed attempt; must be dropped
+  second.events.token(0, "a");    // the caller already has it
   second.events.token(1, "b");
   second.events.token(2, "c");
   second.events.finished(3);
@@ -59,7 +59,7 @@
   CHECK(fixture.text == "abc");
 }
 
-TEST_CASE("a stream that ends short of its total is no answer") {
+TEST_CASE("a stream that ends before its total is resumed, not reported as finished") {
   RouterFixture fixture;
   fixture.start();
   fixture.backends.engine_calls[0].events.token(0, "a");
@@ -69,7 +69,7 @@
   CHECK(fixture.backends.engine_calls[1].call.resume_from == 1);
 }
 
-TEST_CASE("refused everywhere is not run, broken once is unknown") {
+TEST_CASE("a request that all engines refused is reported as not run, one whose stream broke once as unknown") {
   RouterFixture refused;
   refused.start();
   for (std::size_t call = 0; call < refused.backends.engine_calls.size(); ++call) {
@@ -88,7 +88,7 @@
   CHECK(broken.refusal->ran == Ran::unknown);
 }
 
-TEST_CASE("a full pool refuses at once") {
+TEST_CASE("a full pool refuses requests immediately") {
   RouterFixture fixture;
   for (int request = 0; request < 16; ++request) {
     fixture.start();
@@ -99,7 +99,7 @@
   CHECK(fixture.refusal->error.kind == ErrorKind::limit_exceeded);
 }
 
-TEST_CASE("a time-out stops the work on the engine") {
+TEST_CASE("a time-out cancels the call on the engine") {
   RouterFixture fixture;
   fixture.start();
   fixture.environment.world.run_for(11s);
@@ -111,7 +111,7 @@
 
 namespace {
 
-/// Suspects every request; the test says whether an engine ended.
+/// Suspects every request; the test decides whether an engine terminated.
 class suspicious_guard : public repeat_guard {
  public:
   bool remembers_any() const override { return true; }
@@ -128,7 +128,8 @@
 
 }  // namespace
 
-TEST_CASE("a generation that waits for word of its engine holds no slot there, also when its time runs out") {
+TEST_CASE(
+    "a generation that waits to learn whether its engine terminated holds no slot there, even when it times out") {
   RouterFixture fixture;
   suspicious_guard guard;
   fixture.router.use_repeat_guard(guard);
@@ -145,7 +146,7 @@
   CHECK(fixture.router.active() == 0);
 }
 
-TEST_CASE("a generation that is held back is refused at once") {
+TEST_CASE("a quarantined generation is refused immediately") {
   RouterFixture fixture;
   suspicious_guard guard;
   guard.held = true;
--- a/tests/routing/ranked_pool_test.cpp
+++ b/tests/routing/ranked_pool_test.cpp
@@ -10,9 +10,9 @@
 using namespace madderdeck;
 using namespace madderdeck::routing;
 
-// A node learns of the back ends of a large fleet a few at a time. Ranking all that are known anew with each of them
-// took a node of 10,000 back ends minutes of processor time: the fleet had not started when its traffic came.
-TEST_CASE("a node that learns of 10,000 back ends one by one uses those that it would use of the whole list") {
+// A node learns of the back ends of a large fleet a few at a time. Ranking all known back ends again for each new one
+// took minutes of processor time with 10,000 back ends, so the fleet was not ready when its traffic arrived.
+TEST_CASE("a node that learns of 10,000 back ends one by one chooses the same subset as from the whole list") {
   constexpr unsigned kBackEnds = 10'000;
   constexpr std::uint32_t kUsed = 16;
   tests::TestEnvironment environment;
@@ -37,7 +37,7 @@
   CHECK(registry.pool_size("m") == kBackEnds);
 }
 
-TEST_CASE("a back end that is no longer listed counts as a member until it is taken out") {
+TEST_CASE("a back end that is no longer listed counts as a member until it is removed") {
   Backend listed;
   listed.machine.id = BackendId("a");
   Backend lapsed;
@@ -46,7 +46,7 @@
   ranked_pool pool;
   pool.add(1, listed);
   pool.add(1, lapsed);
-  pool.add(1, lapsed);  // once more, as by an entry that names its pool twice
+  pool.add(1, lapsed);  // added twice, as by an entry that names its pool twice
   CHECK(pool.size() == 2);
   CHECK(pool.listed() == 1);
   pool.remove(1, lapsed);
--- a/tests/routing/registry_test.cpp
+++ b/tests/routing/registry_test.cpp
@@ -49,7 +49,7 @@
 };
 }  // namespace
 
-TEST_CASE("a back end that says it is leaving gets nothing until it takes that back") {
+TEST_CASE("a back end that reports that it is leaving gets no work until it reports otherwise") {
   RegistryFixture fixture(3);
   const BackendId id(RegistryFixture::name(1));
   fixture.registry.on_failure(id, CallFailure::leaving);
@@ -60,8 +60,8 @@
   CHECK(fixture.registry.candidates("m").size() == 2);
 }
 
-TEST_CASE("a back end not heard of for seconds gets nothing, however late its last report arrived") {
-  // Seed 496 of the simulation: a report that had waited for a frozen node counted as new.
+TEST_CASE("a back end without a recent load report gets no work, however late its last report arrived") {
+  // Guards against counting a report as new that had been queued while this node was frozen.
   RegistryFixture fixture(2);
   const Timestamp asked_at = fixture.environment.now();
   fixture.environment.world.run_for(5s);
@@ -71,8 +71,8 @@
   CHECK(fixture.registry.candidates("m").size() == 1);
 }
 
-TEST_CASE("when most entries of a pool vanish together, their back ends stay in use until they are listed again") {
-  // Day platform-down-silent-lapse: entries lapsed while the store was away; every live request was refused.
+TEST_CASE("when most entries of a pool disappear together, their back ends stay in use until they are listed again") {
+  // Entries expired while the store of the machine list was unavailable, and every live request was refused.
   RegistryFixture fixture(4);
   const auto names = [](unsigned first, unsigned last) {
     std::vector<unsigned> numbers;
@@ -93,7 +93,7 @@
   CHECK(fixture.candidates() == 3);
 }
 
-TEST_CASE("back ends that vanish one by one within the window are taken back once most are gone") {
+TEST_CASE("back ends whose entries disappear one by one within the window are taken back into use once most are gone") {
   RegistryFixture fixture(4);
   fixture.remove({1});
   fixture.environment.world.run_for(200ms);
@@ -104,9 +104,10 @@
   CHECK(fixture.candidates() == 4);
 }
 
-TEST_CASE("a pool that is not listed again is not used for long") {
+TEST_CASE("the back ends of a pool that is not listed again are used for a bounded time") {
   RegistryFixture fixture(3);
-  // Entries that lapsed with the list's keeper are back about 2 s after its return; who is missing then is gone.
+  // Entries that expired in an outage of the store are listed again about 2 s after its recovery; a back end whose
+  // entry is missing then has left.
   fixture.remove({1, 2, 3});
   fixture.environment.world.run_for(2s);
   fixture.report_all(3);
@@ -115,7 +116,7 @@
   CHECK(fixture.candidates() == 0);
 }
 
-TEST_CASE("back ends that had told they leave, or leave singly, are gone at once") {
+TEST_CASE("back ends that were listed as leaving, or that leave singly, are removed immediately") {
   RegistryFixture fixture(4);
   fixture.add(1, true);
   fixture.add(2, true);
@@ -134,7 +135,7 @@
   CHECK(fixture.counters["backend_ejections_capped_total"] == 2);
 }
 
-TEST_CASE("one machine more changes a subset by one machine at most") {
+TEST_CASE("adding one machine changes at most one machine of a subset") {
   RegistryFixture before(30);
   before.registry.set_subset_size(8);
   RegistryFixture after(31);
@@ -147,8 +148,8 @@
   CHECK(kept >= 7);
 }
 
-TEST_CASE("a gateway counts its own calls for those that share the engine") {
-  // Experiment qasr-no-batch: three gateways each filled an engine's slots, and the tail was ten times round robin's.
+TEST_CASE("a gateway estimates an engine's load as its own calls times the gateways that share the engine") {
+  // Three gateways each filled all slots of an engine, and the tail latency was ten times that of round robin.
   RegistryFixture fixture(6);
   fixture.registry.set_gateways(3);
   CHECK(fixture.registry.sharing("m") == Approx(3));
@@ -177,7 +178,7 @@
 }
 
 TEST_CASE("an engine whose streams begin well and then break is ejected, each time for longer") {
-  // Fault run with break_engine: the first token counted as a success, so that the engine was never ejected.
+  // A first token counted as a success, so an engine whose streams broke after it was never ejected.
   RegistryFixture fixture(4);
   const BackendId id(RegistryFixture::name(1));
   const auto break_three = [&] {
@@ -197,9 +198,9 @@
   CHECK(fixture.registry.candidates("m").size() == 3);
 }
 
-// An engine may start anew under its id. What was reckoned with its life before stayed: calls that had ended with it,
-// its ejection, its word that it leaves.
-TEST_CASE("a back end that has started anew under its id begins with nothing of its life before") {
+// An engine may restart under its id. State of its earlier incarnation was kept: calls that had ended with it, its
+// ejection, and its report that it was leaving.
+TEST_CASE("a back end that has restarted under its id keeps no state of its earlier incarnation") {
   RegistryFixture fixture(2);
   const BackendId id(RegistryFixture::name(1));
   const auto list = [&fixture](std::uint64_t started) {
@@ -226,7 +227,7 @@
   CHECK(backend->ejected_until.count() == 0);
   CHECK(backend->latency_ms == 0);
 
-  // Late word of the life before changes nothing.
+  // Late messages about the earlier incarnation change nothing.
   fixture.registry.on_sent(id);
   fixture.registry.on_ended(id, first_life);
   CHECK(fixture.registry.find(id)->open_calls == 1);
@@ -241,20 +242,20 @@
   fixture.change({{{"machine", RegistryFixture::name(1)}, draining, fixture.table.revision() + 1, false}});
   CHECK_FALSE(fixture.registry.find(id)->machine.leaving);
   CHECK(fixture.registry.find(id)->life == backend->life);
-  // An entry that cannot be read gets no work, and does not hide a later start.
+  // A back end with an unreadable entry gets no work, and the entry does not hide a later start.
   fixture.change(
       {{{"machine", RegistryFixture::name(1)}, config::kUnreadableMachine, fixture.table.revision() + 1, false}});
   CHECK_FALSE(fixture.registry.open(*fixture.registry.find(id)));
   list(2'000);
   CHECK(fixture.registry.find(id)->life == backend->life);
-  // Its own word of a later start counts before the list tells of it.
+  // A later start in its own load report counts before the machine list shows it.
   LoadReport anew;
   anew.started_unix_ms = 3'000;
   fixture.registry.on_report(id, anew, fixture.environment.now());
   CHECK(fixture.registry.find(id)->open_calls == 0);
 }
 
-TEST_CASE("a back end that is no longer listed stays so when it tells of a new start") {
+TEST_CASE("a back end that is no longer listed stays unlisted when its load report shows a restart") {
   RegistryFixture fixture(3);
   const BackendId id(RegistryFixture::name(1));
   const std::string body = R"({"pool":"m","slots":4,"started_ms":1000})";
--- a/tests/routing/shared_calls_test.cpp
+++ b/tests/routing/shared_calls_test.cpp
@@ -119,7 +119,7 @@
   calls.take(word("b", 0, false), 1s);
   calls.take(word("c", 0, false), 1s);
   CHECK(calls.at(kEngine).silent());
-  calls.take(word("a", 0, true), 1s);  // its calls have ended: no witness is left
+  calls.take(word("a", 0, true), 1s);  // its calls have ended: no node with calls there is left
   CHECK_FALSE(calls.at(kEngine).silent());
 }
 
@@ -150,7 +150,7 @@
   calls.take(numbered(10, 3), 1s);
   calls.take(numbered(9, 5), 1s);
   CHECK(calls.at(kEngine).live == 3);
-  calls.take(numbered(0, 2), 1s);  // of a version without numbers
+  calls.take(numbered(0, 2), 1s);  // from a software version that sends no report numbers
   CHECK(calls.at(kEngine).live == 2);
   calls.take(numbered(11, 1), 1s);
   CHECK(calls.at(kEngine).live == 1);
--- a/tests/routing/warm_up_test.cpp
+++ b/tests/routing/warm_up_test.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE("no second holds more requests at a back end that warms up than it bears") {
+TEST_CASE("a back end that warms up gets at most its limit of requests in any second") {
   warm_up_pace pace;
   const BackendId engine("engine");
   std::vector<Timestamp> allowed;
@@ -54,7 +54,7 @@
   CHECK(allowed.size() >= 40);
 }
 
-TEST_CASE("a back end that bears less than one request a second gets one at times") {
+TEST_CASE("a back end with a limit below one request a second still gets single requests") {
   warm_up_pace pace;
   const BackendId engine("engine");
   CHECK(pace.allows(engine, 0.3, 0ms));
@@ -63,13 +63,13 @@
   CHECK(pace.allows(engine, 0.3, 2s));
 }
 
-TEST_CASE("a back end that warms up is nobody's own choice until it is warm") {
+TEST_CASE("a back end that warms up is not among the candidates until its warm-up is over") {
   warm_up_fixture fixture;
   fixture.list("warm", 0);
   fixture.list("cold", 2000);
   CHECK(fixture.usable() == 1);
   CHECK(fixture.warming() == 1);
-  fixture.list("warm", 1000);  // it may become cold again at any time
+  fixture.list("warm", 1000);  // a back end may start to warm up again at any time
   CHECK(fixture.usable() == 0);
   CHECK(fixture.warming() == 2);
   fixture.environment.world.run_for(2001ms);
@@ -77,7 +77,7 @@
   CHECK(fixture.warming() == 0);
 }
 
-TEST_CASE("where a pool's back ends bear any number of requests from their start, they are used at once") {
+TEST_CASE("back ends of a pool without a warm-up limit are used immediately") {
   warm_up_fixture fixture;
   fixture.registry.set_warm_up("m", {3s, 0});
   fixture.list("cold", 2000);
@@ -85,7 +85,7 @@
   CHECK(fixture.warming() == 0);
 }
 
-TEST_CASE("a back end that started anew, or that could not be reached, is taken for one that warms up") {
+TEST_CASE("a back end that restarted or could not be reached is treated as warming up") {
   warm_up_fixture fixture;
   fixture.list("engine", 0, "z", 7);
   fixture.list("other", 0);
@@ -96,7 +96,7 @@
   CHECK(fixture.usable() == 2);
 }
 
-TEST_CASE("the back ends of a zone that is evacuated get nothing, and warm up when that is over") {
+TEST_CASE("the back ends of an evacuated zone get no requests, and warm up when the evacuation is over") {
   warm_up_fixture fixture;
   fixture.list("here", 0, "here");
   fixture.list("there", 0, "there");
