--- a/src/policy/headroom.cpp
+++ b/src/policy/headroom.cpp
@@ -14,7 +14,7 @@
   double probability = std::exp(-expected);
   double covered = probability;
   std::uint32_t free = 0;
-  while (covered < 1 - missed_ && free < demand.slots) {
+  while (covered < 1 - missed_share_ && free < demand.slots) {
     ++free;
     probability *= expected / free;
     covered += probability;
--- a/src/policy/headroom.hpp
+++ b/src/policy/headroom.hpp
@@ -40,11 +40,11 @@
 class observed_headroom : public headroom_policy {
  public:
   /// @param missed the share of the times to yield in which more calls may arrive than slots are free; in (0, 1).
-  explicit observed_headroom(double missed) : missed_(missed) {}
+  explicit observed_headroom(double missed) : missed_share_(missed) {}
   std::uint32_t free_slots(const engine_demand& demand) const override;
 
  private:
-  const double missed_;
+  const double missed_share_;
 };
 
 }  // namespace madderdeck::policy
--- a/src/policy/policies.cpp
+++ b/src/policy/policies.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Share of the times to yield in which more live calls may arrive than slots are free.
-constexpr double kMissed = 0.05;
+constexpr double kMaxMissedShare = 0.05;
 
 Error unknown(const std::string& key, const std::string& found, const std::string& allowed) {
   return Error{ErrorKind::invalid_argument, "policies." + key + ": found '" + found + "', allowed is " + allowed};
@@ -37,7 +37,7 @@
 Result<policy_set> policy_set_builder::build() const {
   policy_set set;
   if (headroom_ == "observed" || headroom_ == "waves") {
-    set.headroom = std::make_shared<observed_headroom>(kMissed);
+    set.headroom = std::make_shared<observed_headroom>(kMaxMissedShare);
     set.headroom_for_peaks = headroom_ == "waves";
   } else if (headroom_ != "fixed") {
     return unknown("headroom", headroom_, "fixed, observed or waves");
--- a/src/policy/rate_meter.hpp
+++ b/src/policy/rate_meter.hpp
@@ -12,7 +12,7 @@
 class rate_meter {
  public:
   void count(Timestamp now, double events) {
-    const double held = held_peak(now);
+    const double held = decayed_peak(now);
     short_.add(now, events);
     long_.add(now, events);
     peak_ = std::max(held, short_.at(now));
@@ -22,7 +22,7 @@
   double per_second(Timestamp now) const { return std::max(short_.at(now), long_.at(now)); }
   /// @return the peak rate of the latest bursts in events per second. With traffic in waves it predicts the rate of the
   ///         next wave.
-  double peak_per_second(Timestamp now) const { return std::max(per_second(now), held_peak(now)); }
+  double peak_per_second(Timestamp now) const { return std::max(per_second(now), decayed_peak(now)); }
 
  private:
   /// Exponentially weighted moving average.
@@ -45,11 +45,11 @@
   };
 
   /// Time constant with which a peak decays; several waves of traffic fall within it.
-  static constexpr Duration kPeakHeld = 20s;
+  static constexpr Duration kPeakDecayTime = 20s;
 
-  double held_peak(Timestamp now) const {
+  double decayed_peak(Timestamp now) const {
     const double passed = std::chrono::duration<double>(now - peak_at_).count();
-    return peak_ * std::exp(-passed / std::chrono::duration<double>(kPeakHeld).count());
+    return peak_ * std::exp(-passed / std::chrono::duration<double>(kPeakDecayTime).count());
   }
 
   double peak_ = 0;  ///< Peak of the short average, as of peak_at_.
--- a/src/policy/work_estimate.cpp
+++ b/src/policy/work_estimate.cpp
@@ -6,21 +6,21 @@
 namespace {
 
 constexpr double kSmoothing = 0.1;
-constexpr double kMostStretch = 3;
-constexpr std::uint32_t kLeastEvents = 4;  ///< A run with fewer events is too short to measure the time per event.
+constexpr double kMaxStretch = 3;
+constexpr std::uint32_t kMinEventsForPace = 4;  ///< A run with fewer events is too short to measure the time per event.
 
-void approach(double& average, double value) { average += average == 0 ? value : kSmoothing * (value - average); }
+void update_average(double& average, double value) { average += average == 0 ? value : kSmoothing * (value - average); }
 
 }  // namespace
 
 void work_estimate::learn(const std::string& kind, const finished_run& run) {
   average& known = kinds_[kind];
-  approach(known.events, run.events);
+  update_average(known.events, run.events);
   if (run.tokens > 0) {
-    approach(known.events_per_token, static_cast<double>(run.events) / run.tokens);
+    update_average(known.events_per_token, static_cast<double>(run.events) / run.tokens);
   }
-  if (run.run_events >= kLeastEvents) {
-    approach(known.event_us, static_cast<double>(run.took.count()) / run.run_events);
+  if (run.run_events >= kMinEventsForPace) {
+    update_average(known.event_us, static_cast<double>(run.took.count()) / run.run_events);
   }
 }
 
@@ -29,7 +29,7 @@
     return;
   }
   const double sample = static_cast<double>(took.count()) / static_cast<double>(work.count());
-  approach(kinds_[kind].stretch, std::clamp(sample, 1.0, kMostStretch));
+  update_average(kinds_[kind].stretch, std::clamp(sample, 1.0, kMaxStretch));
 }
 
 Duration work_estimate::time_left(const std::string& kind, std::uint32_t tokens, std::uint32_t events) const {
--- a/src/routing/call_announcer.cpp
+++ b/src/routing/call_announcer.cpp
@@ -7,12 +7,12 @@
 
 constexpr Duration kRefresh = 1s;
 /// In each delay the fleet sends one message per pair of nodes, so the delay grows with the number of pairs.
-constexpr Duration kDelayOfOnePair = 800us;
-constexpr Duration kLeastDelay = 5ms;
-constexpr Duration kMostDelay = 700ms;
+constexpr Duration kDelayPerPeerPair = 800us;
+constexpr Duration kMinAnnounceDelay = 5ms;
+constexpr Duration kMaxAnnounceDelay = 700ms;
 /// In larger fleets the reported counts arrive so late that the engines' load reports are more accurate
 /// (DECISIONS.md).
-constexpr std::size_t kMostPeers = 24;
+constexpr std::size_t kMaxAnnouncePeers = 24;
 
 wire::EngineActivityT message_of(const std::string& node, Duration time_to_yield, bool complete) {
   wire::EngineActivityT message;
@@ -25,21 +25,21 @@
 }  // namespace
 
 call_announcer::call_announcer(Environment& environment, Counters& counters, Registry& registry, std::string node,
-                               peers to, looks_after own)
+                               peers to, owner_check own)
     : environment_(environment),
       counters_(counters),
       registry_(registry),
       node_(std::move(node)),
-      to_(std::move(to)),
-      own_(std::move(own)),
+      announce_peers_(std::move(to)),
+      owns_(std::move(own)),
       numbers_(environment) {}
 
 void call_announcer::start() { refresh(); }
 
 void call_announcer::refresh() {
   environment_.after(kRefresh, lifetime_.guard([this] { refresh(); }));
-  const auto peers = static_cast<int>(std::min(to_().size(), kMostPeers));
-  delay_ = std::clamp(kDelayOfOnePair * (peers * peers), kLeastDelay, kMostDelay);
+  const auto peers = static_cast<int>(std::min(announce_peers_().size(), kMaxAnnouncePeers));
+  delay_ = std::clamp(kDelayPerPeerPair * (peers * peers), kMinAnnounceDelay, kMaxAnnounceDelay);
   tell(true);
 }
 
@@ -56,17 +56,17 @@
 }
 
 void call_announcer::tell(bool complete) {
-  const std::vector<PeerAddress> peers = to_();
+  const std::vector<PeerAddress> peers = announce_peers_();
   std::set<BackendId> told;
   std::swap(told, changed_);
-  if (peers.size() > kMostPeers) {
+  if (peers.size() > kMaxAnnouncePeers) {
     return;
   }
   const auto add = [this](wire::EngineActivityT& message, const BackendId& id, const Backend* backend) {
     auto entry = std::make_unique<wire::EngineCallsT>();
     entry->engine = id.str();
     entry->live = backend == nullptr ? 0 : backend->online_in_flight;
-    entry->live += backend != nullptr && own_(id) ? registry_.unexplained(*backend) : 0;
+    entry->live += backend != nullptr && owns_(id) ? registry_.unexplained(*backend) : 0;
     entry->batch = backend == nullptr ? 0 : backend->batch_in_flight;
     message.engines.push_back(std::move(entry));
   };
@@ -74,7 +74,7 @@
     wire::EngineActivityT message = message_of(node_, time_to_yield_, complete);
     if (complete) {
       for (const auto& [id, backend] : registry_.backends()) {
-        const std::uint32_t unexplained = own_(id) ? registry_.unexplained(backend) : 0;
+        const std::uint32_t unexplained = owns_(id) ? registry_.unexplained(backend) : 0;
         if (backend.online_in_flight + backend.batch_in_flight + unexplained > 0) {
           add(message, id, &backend);
         }
--- a/src/routing/call_announcer.hpp
+++ b/src/routing/call_announcer.hpp
@@ -18,14 +18,13 @@
 class call_announcer {
  public:
   using peers = std::function<std::vector<PeerAddress>()>;
-  using looks_after = std::function<bool(const BackendId&)>;
+  using owner_check = std::function<bool(const BackendId&)>;
 
   /// @param to returns the peers that choose engines.
-  /// @param own returns whether this node also reports the requests that appear in the engine's load report but in no
-  /// node's
-  ///        call report.
+  /// @param own returns whether this node also reports the requests that an engine's load report contains but no call
+  ///        report does.
   call_announcer(Environment& environment, Counters& counters, Registry& registry, std::string node, peers to,
-                 looks_after own);
+                 owner_check own);
 
   void start();
   /// Call this when the number of this node's calls at @p engine changes.
@@ -43,8 +42,8 @@
   Counters& counters_;
   Registry& registry_;
   const std::string node_;
-  const peers to_;
-  const looks_after own_;
+  const peers announce_peers_;
+  const owner_check owns_;
   word_numbers numbers_;
   std::set<BackendId> changed_;
   Duration time_to_yield_{};
--- a/src/routing/lapse.hpp
+++ b/src/routing/lapse.hpp
@@ -15,15 +15,15 @@
 
 /// Entries that expired because the store of the machine list was unavailable are listed again within about 2 s of the
 /// store's recovery, which is 1.8 s after this node learnt that they had expired.
-inline constexpr Duration kBackAfterOutage = 1800ms;
+inline constexpr Duration kRelistedAfterOutage = 1800ms;
 /// The same if no back end of the pool is listed. A back end that is not listed again by then has left.
-inline constexpr Duration kBackAfterOutageOfPool = 2400ms;
+inline constexpr Duration kRelistedAfterPoolOutage = 2400ms;
 /// One part in this many of the leave notice is reserved for the time between the choice of a back end and the
 /// request's arrival there.
-inline constexpr int kNoticeReserve = 4;
+inline constexpr int kNoticeReserveDivisor = 4;
 
 /// @return whether the list itself was unreachable for so long that entries may have expired for that reason alone.
-inline bool list_was_away(const lapse& how, Duration notice) {
+inline bool list_was_unavailable(const lapse& how, Duration notice) {
   return notice.count() == 0 || how.unchanged_until.count() == 0 || how.heard_at - how.unchanged_until > notice;
 }
 
@@ -32,11 +32,11 @@
 /// @return until when the back end may be used.
 /// @param notice the platform's leave notice; zero: unknown.
 /// @param whole_pool whether no back end of the pool is listed.
-inline Timestamp used_until(const lapse& how, Duration notice, bool whole_pool) {
-  if (list_was_away(how, notice)) {
-    return how.heard_at + (whole_pool ? kBackAfterOutageOfPool : kBackAfterOutage);
+inline Timestamp usable_until(const lapse& how, Duration notice, bool whole_pool) {
+  if (list_was_unavailable(how, notice)) {
+    return how.heard_at + (whole_pool ? kRelistedAfterPoolOutage : kRelistedAfterOutage);
   }
-  return how.unchanged_until + notice - notice / kNoticeReserve;
+  return how.unchanged_until + notice - notice / kNoticeReserveDivisor;
 }
 
 }  // namespace madderdeck::routing
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -4,7 +4,7 @@
 
 namespace madderdeck::routing {
 
-void RetryBudget::on_request() { balance_ = std::min(kMaxSaved, balance_ + percent_ / 100.0); }
+void RetryBudget::on_request() { balance_ = std::min(kMaxBalance, balance_ + percent_ / 100.0); }
 
 bool RetryBudget::try_spend() {
   if (balance_ < 1.0) {
--- a/src/routing/limits.hpp
+++ b/src/routing/limits.hpp
@@ -15,10 +15,10 @@
   bool try_spend();
 
  private:
-  static constexpr double kReserve = 3.0;  ///< Initial balance, so that a node with little traffic can retry at all.
-  static constexpr double kMaxSaved = 50.0;
+  static constexpr double kInitialBalance = 3.0;  ///< Lets a node with little traffic retry at all.
+  static constexpr double kMaxBalance = 50.0;
   std::uint32_t percent_ = 10;
-  double balance_ = kReserve;
+  double balance_ = kInitialBalance;
 };
 
 }  // namespace madderdeck::routing
--- a/src/routing/registry.cpp
+++ b/src/routing/registry.cpp
@@ -7,22 +7,22 @@
 namespace madderdeck::routing {
 namespace {
 constexpr std::uint32_t kFailuresToEject = 3;
-constexpr Duration kEjection = 2s;
+constexpr Duration kBaseEjectionTime = 2s;
 constexpr std::uint32_t kMaxEjectionDoublings = 4;
 constexpr Duration kReportFresh = 3s;
 constexpr Duration kExcessHolds = 1s;
 constexpr double kLatencySmoothing = 0.2;
-constexpr std::size_t kEjectableShare = 2;  ///< At most one in this many back ends of a pool is ejected.
+constexpr std::size_t kMaxEjectedDivisor = 2;  ///< At most one in this many back ends of a pool is ejected.
 /// Entries that disappear within this time count as having disappeared together.
-constexpr Duration kLapseWindow = 2s;
+constexpr Duration kMassDelistingWindow = 2s;
 /// The store of the machine list may apply a back end's last heartbeat this long after its removal. The entry then
 /// stays listed until three heartbeats are missed: without this rule 25 requests in 1.5 s went to an engine that had
 /// left.
-constexpr Duration kLateWrite = 1s;
+constexpr Duration kLateWriteWindow = 1s;
 /// Three heartbeats of 1.2 s plus the time until this node learns of a change: a back end that is still listed then is
 /// running.
-constexpr Duration kProofOfLife = 4s;
-constexpr Duration kDoubtLook = 450ms;  ///< How often a back end that is no longer listed is checked.
+constexpr Duration kRelistProbation = 4s;
+constexpr Duration kGracePeriodCheckInterval = 450ms;  ///< How often a back end that is no longer listed is checked.
 }  // namespace
 
 Registry::Registry(Environment& environment, Counters& counters, const std::string& node, RegistryGuards guards)
@@ -44,7 +44,7 @@
       const std::vector<std::string>& left = known->second.machine.pools;
       touched.insert(left.begin(), left.end());
       if (entry == nullptr && !known->second.machine.leaving) {
-        vanished_[id] = Vanished{known->second, {environment_.now(), unchanged_until}};
+        recently_delisted_[id] = RecentlyDelisted{known->second, {environment_.now(), unchanged_until}};
       }
       remove(id, entry == nullptr);
     }
@@ -57,22 +57,22 @@
       continue;
     }
     auto [position, inserted] = backends_.try_emplace(id);
-    take_machine(position->second, value_of(parsed));
+    apply_machine_entry(position->second, value_of(parsed));
     position->second.unlisted.reset();
     warm_up_for(position->second, std::chrono::milliseconds(position->second.machine.warm_up_left_ms));
     if (inserted) {
-      position->second.life = ++lives_;
-      bar_if_just_gone(position->second);
+      position->second.life = ++incarnations_;
+      withhold_if_just_delisted(position->second);
       position->second.added_at = environment_.now();
     }
-    vanished_.erase(id);
+    recently_delisted_.erase(id);
     join_pools(position->second);
     const std::vector<std::string>& joined = position->second.machine.pools;
     touched.insert(joined.begin(), joined.end());
   }
   version_ += touched.empty() ? 0 : 1;
   for (const std::string& pool : touched) {
-    reinstate_lapsed(pool);
+    reinstate_delisted(pool);
   }
 }
 
@@ -88,13 +88,13 @@
     pools_[pool].remove(node_hash_, backend);
   }
   if (forget) {
-    called_.erase(id);
-    timed_.erase(id);
+    with_open_calls_.erase(id);
+    with_latency_.erase(id);
     backends_.erase(id);
   }
 }
 
-void Registry::take_machine(Backend& backend, config::Machine machine) {
+void Registry::apply_machine_entry(Backend& backend, config::Machine machine) {
   const std::uint64_t started = backend.machine.started_unix_ms;
   if (started != 0 && machine.started_unix_ms != 0 && machine.started_unix_ms < started) {
     // A late write of the earlier incarnation; the current one writes its entry again with its next heartbeat.
@@ -112,32 +112,33 @@
   if (backend.machine.started_unix_ms == 0) {
     backend.machine.started_unix_ms = started;  // an unreadable entry has no start time
   } else if (started != 0 && backend.machine.started_unix_ms > started) {
-    begin_life(backend);
+    begin_incarnation(backend);
   }
 }
 
-void Registry::bar_if_just_gone(Backend& backend) {
-  const auto gone = vanished_.find(backend.machine.id);
-  if (gone == vanished_.end() || leave_notice_.count() == 0) {
+void Registry::withhold_if_just_delisted(Backend& backend) {
+  const auto gone = recently_delisted_.find(backend.machine.id);
+  if (gone == recently_delisted_.end() || leave_notice_.count() == 0) {
     return;
   }
   const lapse& how = gone->second.how;
-  const bool late_write = environment_.now() - how.heard_at < kLateWrite && !list_was_away(how, leave_notice_);
+  const bool late_write =
+      environment_.now() - how.heard_at < kLateWriteWindow && !list_was_unavailable(how, leave_notice_);
   const bool same_life = backend.machine.started_unix_ms <= gone->second.backend.machine.started_unix_ms;
   if (late_write && same_life) {
-    backend.barred_until = environment_.now() + kProofOfLife;
+    backend.withheld_until = environment_.now() + kRelistProbation;
     counters_["backend_returns_doubted_total"]++;
   }
 }
 
-void Registry::begin_life(Backend& backend) {
+void Registry::begin_incarnation(Backend& backend) {
   Backend anew;
   anew.machine = std::move(backend.machine);
   anew.unlisted = backend.unlisted;
-  anew.life = ++lives_;
+  anew.life = ++incarnations_;
   anew.added_at = environment_.now();
-  anew.warms_until = backend.warms_until;
-  called_.erase(anew.machine.id);
+  anew.warm_up_until = backend.warm_up_until;
+  with_open_calls_.erase(anew.machine.id);
   backend = std::move(anew);
   warm_up_for(backend, warm_up_length(backend));
   counters_["backend_restarts_seen_total"]++;
@@ -156,14 +157,15 @@
   return known == pools_.end() ? 0 : known->second.listed();
 }
 
-void Registry::reinstate_lapsed(const std::string& pool) {
-  if (!guards_.doubt_mass_lapse) {
+void Registry::reinstate_delisted(const std::string& pool) {
+  if (!guards_.keep_on_mass_delisting) {
     return;
   }
-  std::erase_if(vanished_,
-                [this](const auto& entry) { return environment_.now() - entry.second.how.heard_at > kLapseWindow; });
+  std::erase_if(recently_delisted_, [this](const auto& entry) {
+    return environment_.now() - entry.second.how.heard_at > kMassDelistingWindow;
+  });
   std::vector<BackendId> gone;
-  for (const auto& [id, vanished] : vanished_) {
+  for (const auto& [id, vanished] : recently_delisted_) {
     const auto& pools = vanished.backend.machine.pools;
     if (std::find(pools.begin(), pools.end(), pool) != pools.end()) {
       gone.push_back(id);
@@ -175,49 +177,49 @@
     return;
   }
   for (const BackendId& id : gone) {
-    auto node = vanished_.extract(id);
+    auto node = recently_delisted_.extract(id);
     Backend& backend = backends_[id];
     backend = std::move(node.mapped().backend);
     backend.unlisted = node.mapped().how;
     join_pools(backend);
     if (backend.open_calls > 0) {
-      called_.insert(id);
+      with_open_calls_.insert(id);
     }
     if (backend.latency_ms > 0) {
-      timed_.insert(id);
+      with_latency_.insert(id);
     }
     counters_["backend_lapses_doubted_total"]++;
-    tell_lapse(id, true, *backend.unlisted);
-    end_doubt(id);
+    notify_delisting(id, true, *backend.unlisted);
+    end_grace_period(id);
   }
 }
 
-Duration Registry::doubt_left(const Backend& backend) const {
+Duration Registry::grace_period_left(const Backend& backend) const {
   const std::vector<std::string>& pools = backend.machine.pools;
   const bool whole_pool =
       std::any_of(pools.begin(), pools.end(), [this](const std::string& pool) { return listed_count(pool) == 0; });
-  return used_until(*backend.unlisted, leave_notice_, whole_pool) - environment_.now();
+  return usable_until(*backend.unlisted, leave_notice_, whole_pool) - environment_.now();
 }
 
-void Registry::end_doubt(const BackendId& id) {
+void Registry::end_grace_period(const BackendId& id) {
   const Backend* backend = find(id);
   if (backend == nullptr || !backend->unlisted) {
     return;
   }
   const lapse how = *backend->unlisted;
-  const Duration left = doubt_left(*backend);
+  const Duration left = grace_period_left(*backend);
   if (left.count() > 0 || !guards_.end_doubts) {
     // Checked again before the time is over: it shortens once other back ends of the pool are listed again.
-    const Duration look = std::clamp(left, Duration(1ms), kDoubtLook);
-    environment_.after(look, lifetime_.guard([this, id] { end_doubt(id); }));
+    const Duration look = std::clamp(left, Duration(1ms), kGracePeriodCheckInterval);
+    environment_.after(look, lifetime_.guard([this, id] { end_grace_period(id); }));
     return;
   }
   remove(id, true);
-  tell_lapse(id, false, how);
+  notify_delisting(id, false, how);
   ++version_;
 }
 
-void Registry::tell_lapse(const BackendId& id, bool kept, const lapse& how) const {
+void Registry::notify_delisting(const BackendId& id, bool kept, const lapse& how) const {
   if (on_lapse) {
     on_lapse(id, kept, how);
   }
@@ -246,11 +248,11 @@
   if (guards_.honour_machine_list && backend.machine.leaving) {
     return false;
   }
-  if (environment_.now() < backend.barred_until) {
+  if (environment_.now() < backend.withheld_until) {
     return false;
   }
-  // Its time is over, even if end_doubt has not run yet.
-  if (backend.unlisted && guards_.end_doubts && doubt_left(backend).count() <= 0) {
+  // Its time is over, even if end_grace_period has not run yet.
+  if (backend.unlisted && guards_.end_doubts && grace_period_left(backend).count() <= 0) {
     return false;
   }
   // No recent report: the back end may have begun to leave meanwhile, or this node was frozen.
@@ -308,7 +310,7 @@
 }
 
 std::optional<double> Registry::warm_up_limit(const Backend& backend) const {
-  if (environment_.now() >= backend.warms_until) {
+  if (environment_.now() >= backend.warm_up_until) {
     return std::nullopt;
   }
   std::optional<double> least;
@@ -336,7 +338,7 @@
   if (time <= Duration::zero()) {
     return;
   }
-  backend.warms_until = std::max(backend.warms_until, environment_.now() + time);
+  backend.warm_up_until = std::max(backend.warm_up_until, environment_.now() + time);
   warming_.insert(backend.machine.id);
 }
 
@@ -358,7 +360,7 @@
   std::vector<Backend*> found;
   std::erase_if(warming_, [&](const BackendId& id) {
     Backend* backend = find(id);
-    if (backend == nullptr || environment_.now() >= backend->warms_until) {
+    if (backend == nullptr || environment_.now() >= backend->warm_up_until) {
       return true;
     }
     const std::vector<std::string>& pools = backend->machine.pools;
@@ -388,7 +390,7 @@
   }
   if (backend->open_calls == 0) {
     backend->quiet_since = environment_.now();
-    called_.insert(id);
+    with_open_calls_.insert(id);
   }
   ++backend->open_calls;
   return backend->life;
@@ -406,14 +408,14 @@
     return;
   }
   if (--backend->open_calls == 0) {
-    called_.erase(id);
+    with_open_calls_.erase(id);
   }
 }
 
 void Registry::on_reading(const BackendId& id, Duration expected) {
-  constexpr Duration kMost = 1s;  // limits the value that a peer sends
+  constexpr Duration kMaxPrefill = 1s;  // limits the value that a peer sends
   if (Backend* backend = find(id)) {
-    backend->reading_until = std::max(backend->reading_until, environment_.now() + std::min(expected, kMost));
+    backend->reading_until = std::max(backend->reading_until, environment_.now() + std::min(expected, kMaxPrefill));
   }
 }
 
@@ -422,12 +424,12 @@
     const double before = backend->latency_ms == 0 ? milliseconds : backend->latency_ms;
     backend->latency_ms = before + kLatencySmoothing * (milliseconds - before);
     backend->latency_at = environment_.now();
-    timed_.insert(id);
+    with_latency_.insert(id);
   }
 }
 
 void Registry::forget_latencies(Duration age) {
-  std::erase_if(timed_, [this, age](const BackendId& id) {
+  std::erase_if(with_latency_, [this, age](const BackendId& id) {
     Backend& backend = backends_.at(id);
     const bool old = environment_.now() - backend.latency_at > age;
     backend.latency_ms = old ? 0 : backend.latency_ms;
@@ -462,8 +464,8 @@
     note_possible_start(id);
   }
   ++backend->consecutive_failures;
-  const bool dead_certain = failure == CallFailure::not_sent;
-  if (dead_certain || backend->consecutive_failures >= kFailuresToEject) {
+  const bool backend_unreachable = failure == CallFailure::not_sent;
+  if (backend_unreachable || backend->consecutive_failures >= kFailuresToEject) {
     eject(*backend);
   }
 }
@@ -488,13 +490,13 @@
 void Registry::eject(Backend& backend) {
   for (const std::string& pool : backend.machine.pools) {
     const std::size_t size = pools_[pool].size();
-    if (size > 1 && (ejected_count(pool) + 1) * kEjectableShare > size) {
+    if (size > 1 && (ejected_count(pool) + 1) * kMaxEjectedDivisor > size) {
       counters_["backend_ejections_capped_total"]++;
       return;
     }
   }
   const std::uint32_t doublings = std::min(backend.ejections++, kMaxEjectionDoublings);
-  backend.ejected_until = environment_.now() + kEjection * (1U << doublings);
+  backend.ejected_until = environment_.now() + kBaseEjectionTime * (1U << doublings);
   counters_["backend_ejections_total"]++;
 }
 
@@ -513,7 +515,7 @@
   }
   if (backend->machine.started_unix_ms != 0 && report.started_unix_ms > backend->machine.started_unix_ms) {
     backend->machine.started_unix_ms = report.started_unix_ms;
-    begin_life(*backend);
+    begin_incarnation(*backend);
   }
   const open_calls others = shared_ == nullptr ? open_calls{} : shared_->at(id);
   const std::uint32_t known = backend->online_in_flight + backend->batch_in_flight + others.live + others.batch;
@@ -521,8 +523,8 @@
   const std::uint32_t excess = reported > known ? reported - known : 0;
   // The excess of a single report may only mean that the report is out of date, so two must agree.
   const bool first = backend->reported_at.count() == 0;
-  backend->unexplained = first ? excess : std::min(excess, backend->last_excess);
-  backend->last_excess = excess;
+  backend->unexplained = first ? excess : std::min(excess, backend->last_unexplained);
+  backend->last_unexplained = excess;
   backend->report = report;
   backend->own_at_report = backend->online_in_flight;
   backend->reported_at = asked_at;
--- a/src/routing/registry.hpp
+++ b/src/routing/registry.hpp
@@ -25,11 +25,11 @@
 
 /// Rules about back ends that leave; always on in the daemon.
 struct RegistryGuards {
-  bool honour_machine_list = true;  ///< A back end listed as leaving gets no new work.
-  bool honour_refusals = true;      ///< A back end that answers or reports that it is leaving gets no new work.
-  bool need_fresh_reports = true;   ///< A back end without a recent load report gets no new work.
-  bool end_doubts = true;           ///< A back end that is no longer listed is used for a bounded time at most.
-  bool doubt_mass_lapse = true;     ///< If most entries of a pool disappear together, their back ends stay in use.
+  bool honour_machine_list = true;     ///< A back end listed as leaving gets no new work.
+  bool honour_refusals = true;         ///< A back end that answers or reports that it is leaving gets no new work.
+  bool need_fresh_reports = true;      ///< A back end without a recent load report gets no new work.
+  bool end_doubts = true;              ///< A back end that is no longer listed is used for a bounded time at most.
+  bool keep_on_mass_delisting = true;  ///< If most entries of a pool disappear together, their back ends stay in use.
 };
 
 /// State of one back end.
@@ -44,19 +44,19 @@
   std::uint32_t ejections = 0;  ///< Ejections since the last success; each lasts longer than the one before.
   Timestamp ejected_until{};
   Timestamp added_at{};
-  bool said_leaving = false;        ///< The back end's last refusal or report said that it is leaving.
-  double latency_ms = 0;            ///< Moving average of time to first token.
-  Timestamp latency_at{};           ///< When latency_ms was last updated.
-  std::uint32_t own_at_report = 0;  ///< online_in_flight when the report arrived.
-  std::uint32_t last_excess = 0;    ///< Requests in the last load report that no node has reported.
-  std::uint32_t unexplained = 0;    ///< The smaller such excess of the last two, such as requests of crashed nodes.
-  std::uint32_t open_calls = 0;     ///< Forwarded requests in progress.
-  Timestamp reading_until{};        ///< Until then a long prefill for any gateway is probably running.
-  Timestamp quiet_since{};          ///< When a forwarded request last received data, or the first was sent.
-  Timestamp warms_until{};          ///< Until then its request rate is limited, if its pool has a warm-up limit.
+  bool said_leaving = false;           ///< The back end's last refusal or report said that it is leaving.
+  double latency_ms = 0;               ///< Moving average of time to first token.
+  Timestamp latency_at{};              ///< When latency_ms was last updated.
+  std::uint32_t own_at_report = 0;     ///< online_in_flight when the report arrived.
+  std::uint32_t last_unexplained = 0;  ///< Requests in the last load report that no node has reported.
+  std::uint32_t unexplained = 0;       ///< The smaller such excess of the last two, such as requests of crashed nodes.
+  std::uint32_t open_calls = 0;        ///< Forwarded requests in progress.
+  Timestamp reading_until{};           ///< Until then a long prefill for any gateway is probably running.
+  Timestamp quiet_since{};             ///< When a forwarded request last received data, or the first was sent.
+  Timestamp warm_up_until{};           ///< Until then its request rate is limited, if its pool has a warm-up limit.
   /// Set if its entry was listed again shortly after it had disappeared: the back end is not used until then unless it
   /// restarts.
-  Timestamp barred_until{};
+  Timestamp withheld_until{};
   /// Set if its entry disappeared together with most others of a pool: the back end may still run, and is used for a
   /// bounded time.
   std::optional<lapse> unlisted;
@@ -71,8 +71,7 @@
   /// @param unchanged_until latest time at which the source certainly had none of these changes; zero: unknown.
   void update(const config::VersionedTable& table, const std::vector<config::EntryKey>& keys,
               Timestamp unchanged_until = {});
-  /// @param notice for how long requests may still be sent to a back end after the platform's store has recorded that
-  /// it
+  /// @param notice for how long a back end still accepts requests after the platform's store has recorded that it
   ///        leaves; zero: unknown.
   void set_leave_notice(Duration notice) { leave_notice_ = notice; }
   /// @param size the largest number of back ends of each pool to which this node sends live requests.
@@ -152,13 +151,13 @@
   void on_report(const BackendId& id, const LoadReport& report, Timestamp asked_at);
   const std::map<BackendId, Backend>& backends() const { return backends_; }
   /// @return the back ends with forwarded requests of this node in progress: few, however large the fleet is.
-  const std::set<BackendId>& called() const { return called_; }
+  const std::set<BackendId>& called() const { return with_open_calls_; }
   /// @return a number that changes whenever the set of known back ends changes.
   std::uint64_t version() const { return version_; }
 
  private:
   /// A back end whose entry has just disappeared without having been marked as leaving.
-  struct Vanished {
+  struct RecentlyDelisted {
     Backend backend;
     lapse how;
   };
@@ -174,19 +173,19 @@
   void remove(const BackendId& id, bool forget);
   /// Takes back ends of @p pool back into use if most entries disappeared together: the store of the machine list was
   /// probably unavailable, so the back ends may still run.
-  void reinstate_lapsed(const std::string& pool);
-  void end_doubt(const BackendId& id);
+  void reinstate_delisted(const std::string& pool);
+  void end_grace_period(const BackendId& id);
   /// @return for how long @p backend, which is no longer listed, may still be used.
-  Duration doubt_left(const Backend& backend) const;
+  Duration grace_period_left(const Backend& backend) const;
   /// Keeps a back end out of use whose entry is listed again shortly after it disappeared: the entry may be a late
   /// write of a back end that has left.
-  void bar_if_just_gone(Backend& backend);
-  /// Applies a listed entry. An entry of an earlier incarnation is ignored, and an entry cannot withdraw that the back
-  /// end is leaving.
-  void take_machine(Backend& backend, config::Machine machine);
+  void withhold_if_just_delisted(Backend& backend);
+  /// Applies a listed entry. An entry of an earlier incarnation is ignored, and an entry of the same incarnation does
+  /// not undo that the back end is leaving.
+  void apply_machine_entry(Backend& backend, config::Machine machine);
   /// Resets all state of the earlier incarnation of a back end that has restarted under its id.
-  void begin_life(Backend& backend);
-  void tell_lapse(const BackendId& id, bool kept, const lapse& how) const;
+  void begin_incarnation(Backend& backend);
+  void notify_delisting(const BackendId& id, bool kept, const lapse& how) const;
   std::size_t listed_count(const std::string& pool) const;
   std::size_t ejected_count(const std::string& pool) const;
   void eject(Backend& backend);
@@ -200,16 +199,16 @@
   std::function<Duration()> list_age_;
   std::uint32_t subset_size_ = 16;
   std::uint64_t version_ = 1;
-  std::uint64_t lives_ = 0;  ///< Number of incarnations of all back ends so far.
+  std::uint64_t incarnations_ = 0;  ///< Number of incarnations of all back ends so far.
   std::size_t gateways_ = 1;
   std::map<BackendId, Backend> backends_;
   std::map<std::string, ranked_pool> pools_;
-  std::map<BackendId, Vanished> vanished_;   ///< Those of the last kLapseWindow.
-  std::set<std::string> evacuated_;          ///< Zones whose back ends get no requests.
-  std::map<std::string, warm_up> warm_ups_;  ///< By pool.
+  std::map<BackendId, RecentlyDelisted> recently_delisted_;  ///< Those of the last kMassDelistingWindow.
+  std::set<std::string> evacuated_;                          ///< Zones whose back ends get no requests.
+  std::map<std::string, warm_up> warm_ups_;                  ///< By pool.
   std::set<BackendId> warming_;  ///< Back ends that warm up; warm ones are removed at the next call of warming().
-  std::set<BackendId> called_;   ///< Back ends with open calls.
-  std::set<BackendId> timed_;    ///< Back ends with a known time to the first token.
+  std::set<BackendId> with_open_calls_;  ///< Back ends with open calls.
+  std::set<BackendId> with_latency_;     ///< Back ends with a known time to the first token.
   Lifetime lifetime_;
 };
 
--- a/src/routing/repeat_guard.cpp
+++ b/src/routing/repeat_guard.cpp
@@ -6,7 +6,7 @@
   const bool waits = broke_before_ || guard.suspects(call.request);
   broke_before_ = true;
   // The call, and with it this object, may be gone by the time the result arrives; the counter is shared.
-  guard.call_broke(call, [ends = ends_, waits, go_on](bool ended) {
+  guard.call_broke(call, [ends = terminations_, waits, go_on](bool ended) {
     *ends += ended ? 1 : 0;
     if (waits) {
       go_on();
--- a/src/routing/repeat_guard.hpp
+++ b/src/routing/repeat_guard.hpp
@@ -53,12 +53,12 @@
   void report(repeat_guard& guard, const broken_call& call, std::function<void()> go_on);
   /// @return whether another back end may run the call. The limit is two terminated back ends: a third would identify
   ///         the request to all nodes, but would cost one more engine and all the work that runs on it.
-  bool may_run_again() const { return *ends_ < kMostEnds; }
+  bool may_run_again() const { return *terminations_ < kMaxTerminations; }
 
  private:
-  static constexpr unsigned kMostEnds = 2;
+  static constexpr unsigned kMaxTerminations = 2;
 
-  std::shared_ptr<unsigned> ends_ = std::make_shared<unsigned>(0);
+  std::shared_ptr<unsigned> terminations_ = std::make_shared<unsigned>(0);
   bool broke_before_ = false;
 };
 
--- a/src/routing/service_router.cpp
+++ b/src/routing/service_router.cpp
@@ -159,13 +159,13 @@
   if (repeats_ != nullptr && repeats_->remembers_any() &&
       repeats_->holds_back(fingerprint_of(active.request), std::to_string(active.attempt))) {
     counters_["service_refused_quarantined_total"]++;
-    give_back(id, ErrorKind::quarantined, "back ends terminated each time they ran this request");
+    end_without_answer(id, ErrorKind::quarantined, "back ends terminated each time they ran this request");
     return;
   }
   std::vector<Backend*> open = registry_.candidates(active.request.service);
   std::erase_if(open, [&](const Backend* backend) { return active.tried.contains(backend->machine.id); });
   if (open.empty()) {
-    give_back(id, ErrorKind::unavailable, "no back end accepts calls for " + active.request.service);
+    end_without_answer(id, ErrorKind::unavailable, "no back end accepts calls for " + active.request.service);
     return;
   }
   Backend* chosen = open.front();
@@ -189,7 +189,7 @@
   client_.start(active.backend, call, std::move(events));
 }
 
-void ServiceRouter::leave_backend(Active& active) {
+void ServiceRouter::release_backend(Active& active) {
   Backend* backend = registry_.find(active.backend);
   if (backend != nullptr && backend->online_in_flight > 0) {
     --backend->online_in_flight;
@@ -202,7 +202,7 @@
     return;
   }
   Active& active = entry->second;
-  leave_backend(active);
+  release_backend(active);
   registry_.on_success(active.backend);
   counters_["service_answered_total"]++;
   if (repeats_ != nullptr && repeats_->remembers_any()) {
@@ -229,7 +229,7 @@
     return;
   }
   Active& active = entry->second;
-  leave_backend(active);
+  release_backend(active);
   registry_.on_failure(active.backend, failure);
   const bool not_run = certainly_not_run(failure);
   active.maybe_ran = active.maybe_ran || (!not_run && guards_.unknown_after_sending);
@@ -238,7 +238,7 @@
     return;
   }
   if (failure == CallFailure::invalid) {
-    give_back(id, ErrorKind::invalid_argument, "the back end rejected the call");
+    end_without_answer(id, ErrorKind::invalid_argument, "the back end rejected the call");
     return;
   }
   if (repeats_ == nullptr || failure != CallFailure::broken) {
@@ -269,11 +269,11 @@
     send(id);
     return;
   }
-  give_back(id, ErrorKind::unavailable,
-            not_run ? "the back end did not accept the call" : "the connection broke after the call was sent");
+  end_without_answer(id, ErrorKind::unavailable,
+                     not_run ? "the back end did not accept the call" : "the connection broke after the call was sent");
 }
 
-void ServiceRouter::give_back(RequestId id, ErrorKind kind, const std::string& detail) {
+void ServiceRouter::end_without_answer(RequestId id, ErrorKind kind, const std::string& detail) {
   Active& active = requests_.at(id);
   const Ran ran = active.maybe_ran ? Ran::unknown : Ran::no;
   const Duration retry_after = kind == ErrorKind::quarantined ? Duration::zero() : kRetryAfter;
--- a/src/routing/service_router.hpp
+++ b/src/routing/service_router.hpp
@@ -73,11 +73,11 @@
   void resend_or_end(RequestId id, CallFailure failure);
   static request_fingerprint fingerprint_of(const ServiceRequest& request);
   void on_deadline(RequestId id);
-  void give_back(RequestId id, ErrorKind kind, const std::string& detail);
+  void end_without_answer(RequestId id, ErrorKind kind, const std::string& detail);
   void refuse(RequestId id, ErrorKind kind, const std::string& detail, Ran ran, Duration retry_after);
   void answer_caller(RequestId id, ServiceOutcome outcome);
   void forget(RequestId id);
-  void leave_backend(Active& active);
+  void release_backend(Active& active);
 
   Environment& environment_;
   Counters& counters_;
--- a/src/routing/shared_calls.cpp
+++ b/src/routing/shared_calls.cpp
@@ -21,7 +21,7 @@
 }
 
 void shared_calls::take(const wire::EngineActivityT& message, Timestamp now) {
-  told& node = nodes_[message.node];
+  node_calls& node = nodes_[message.node];
   if (!node.latest.take(message.number)) {
     return;  // arrived after a later report of the node
   }
@@ -30,40 +30,40 @@
   if (message.complete) {
     drop(node);
     node.engines.clear();
-    node.words.clear();
-    ++node.complete_words;
+    node.report_counts.clear();
+    ++node.complete_reports;
   }
   for (const auto& entry : message.engines) {
     const BackendId engine(entry->engine);
-    ++node.words[engine];
+    ++node.report_counts[engine];
     const std::uint32_t open = entry->live + entry->batch > 0 ? 1 : 0;
     replace(node.engines[engine], engine, open_calls{entry->live, entry->batch, open, entry->silent ? open : 0});
   }
 }
 
 void shared_calls::expect(const std::string& node, const BackendId& engine, Timestamp now) {
-  told& asker = nodes_[node];
+  node_calls& asker = nodes_[node];
   asker.heard_at = std::max(asker.heard_at, now);
   open_calls& known = asker.engines[engine];
   open_calls more = known;
   ++more.live;
   more.nodes = 1;
   replace(known, engine, more);
-  expected_.push_back({node, engine, now + kExpected, words_about(asker, engine)});
+  expected_.push_back({node, engine, now + kExpected, count_reports_of(asker, engine)});
 }
 
-std::uint64_t shared_calls::words_about(const told& node, const BackendId& engine) {
-  const auto words = node.words.find(engine);
+std::uint64_t shared_calls::count_reports_of(const node_calls& node, const BackendId& engine) {
+  const auto report_counts = node.report_counts.find(engine);
   // A complete report covers every engine, and resets the counts of the reports of single engines.
   constexpr std::uint64_t kComplete = 1ULL << 32U;
-  return node.complete_words * kComplete + (words == node.words.end() ? 0 : words->second);
+  return node.complete_reports * kComplete + (report_counts == node.report_counts.end() ? 0 : report_counts->second);
 }
 
 void shared_calls::forget_unfulfilled(Timestamp now) {
   for (; !expected_.empty() && expected_.front().until <= now; expected_.pop_front()) {
-    const expectation& one = expected_.front();
+    const expected_call& one = expected_.front();
     const auto node = nodes_.find(one.node);
-    if (node == nodes_.end() || words_about(node->second, one.engine) != one.word) {
+    if (node == nodes_.end() || count_reports_of(node->second, one.engine) != one.reports_before) {
       continue;
     }
     const auto known = node->second.engines.find(one.engine);
@@ -78,7 +78,7 @@
   }
 }
 
-void shared_calls::drop(const told& node) {
+void shared_calls::drop(const node_calls& node) {
   for (const auto& [engine, calls] : node.engines) {
     const auto total = totals_.find(engine);
     if (total == totals_.end()) {
--- a/src/routing/shared_calls.hpp
+++ b/src/routing/shared_calls.hpp
@@ -46,28 +46,28 @@
   Duration time_to_yield() const;
 
  private:
-  struct expectation {
+  struct expected_call {
     std::string node;
     BackendId engine;
     Timestamp until{};
-    std::uint64_t word = 0;  ///< The node's report count for the engine when the call was expected.
+    std::uint64_t reports_before = 0;  ///< The node's report count for the engine when the call was expected.
   };
-  struct told {
+  struct node_calls {
     std::map<BackendId, open_calls> engines;
-    std::map<BackendId, std::uint64_t> words;  ///< Reports of each engine since the last complete report.
-    std::uint64_t complete_words = 0;
+    std::map<BackendId, std::uint64_t> report_counts;  ///< Reports of each engine since the last complete report.
+    std::uint64_t complete_reports = 0;
     latest_word latest;
     Duration time_to_yield{};
     Timestamp heard_at{};
   };
 
   void replace(open_calls& known, const BackendId& engine, open_calls value);
-  void drop(const told& node);
+  void drop(const node_calls& node);
 
-  static std::uint64_t words_about(const told& node, const BackendId& engine);
+  static std::uint64_t count_reports_of(const node_calls& node, const BackendId& engine);
 
-  std::map<std::string, told> nodes_;
-  std::deque<expectation> expected_;
+  std::map<std::string, node_calls> nodes_;
+  std::deque<expected_call> expected_;
   std::unordered_map<BackendId, open_calls> totals_;
 };
 
--- a/tests/policy/headroom_test.cpp
+++ b/tests/policy/headroom_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kMissed = 0.05;
+constexpr double kMaxMissedShare = 0.05;
 
 /// @return the probability that more than @p free calls arrive within the time to yield.
 double missed(const engine_demand& demand, std::uint32_t free) {
@@ -27,7 +27,7 @@
 }  // namespace
 
 TEST_CASE("an engine without live calls needs no headroom, a busy one with slow yielding some") {
-  const observed_headroom policy(kMissed);
+  const observed_headroom policy(kMaxMissedShare);
   CHECK(policy.free_slots({0, 20ms, 8}) == 0);
   CHECK(policy.free_slots({1, 20ms, 8}) == 0);
   CHECK(policy.free_slots({10, 20ms, 8}) == 1);
@@ -44,13 +44,13 @@
     const engine_demand demand{static_cast<double>(*rc::gen::inRange(0, 400)) / 10,
                                std::chrono::milliseconds(*rc::gen::inRange(1, 500)),
                                static_cast<std::uint32_t>(*rc::gen::inRange(1, 32))};
-    const std::uint32_t free = observed_headroom(kMissed).free_slots(demand);
+    const std::uint32_t free = observed_headroom(kMaxMissedShare).free_slots(demand);
     RC_ASSERT(free <= demand.slots);
     if (free < demand.slots) {
-      RC_ASSERT(missed(demand, free) <= kMissed + 1e-9);
+      RC_ASSERT(missed(demand, free) <= kMaxMissedShare + 1e-9);
     }
     if (free > 0) {
-      RC_ASSERT(missed(demand, free - 1) > kMissed - 1e-9);
+      RC_ASSERT(missed(demand, free - 1) > kMaxMissedShare - 1e-9);
     }
   });
 }
