--- a/src/policy/policies.hpp
+++ b/src/policy/policies.hpp
@@ -21,7 +21,8 @@
   /// Order of live calls for which no slot is free; null: such calls wait at an engine.
   std::shared_ptr<const call_order> calls;
   bool shared_calls = false;  ///< Gateways report their calls to each other and choose engines by these counts.
-  /// Whether in fleets too large for that a coordinator in each zone collects the calls and chooses the engines.
+  /// Whether, in fleets too large for shared_calls, a coordinator in each zone collects the calls and chooses the
+  /// engines.
   bool coordinated = false;
 };
 
--- a/src/routing/warm_up.cpp
+++ b/src/routing/warm_up.cpp
@@ -9,8 +9,7 @@
 
 /// One second plus 100 ms: two requests may arrive at the back end closer together than they were allowed.
 constexpr Duration kPaceWindow = 1100ms;
-constexpr double kMinRequestsPerWindow =
-    1;  ///< Requests per window. With a lower limit the back end would never get a request.
+constexpr double kMinRequestsPerWindow = 1;  ///< With a lower limit the back end would never get a request.
 
 }  // namespace
 
--- a/tests/routing/shared_calls_test.cpp
+++ b/tests/routing/shared_calls_test.cpp
@@ -10,8 +10,8 @@
 
 const BackendId kEngine("e1");
 
-wire::EngineActivityT told(const std::string& node, bool complete, std::uint32_t live, std::uint32_t batch,
-                           const BackendId& engine = kEngine) {
+wire::EngineActivityT call_report(const std::string& node, bool complete, std::uint32_t live, std::uint32_t batch,
+                                  const BackendId& engine = kEngine) {
   wire::EngineActivityT message;
   message.node = node;
   message.complete = complete;
@@ -28,25 +28,25 @@
 TEST_CASE("calls of several nodes add up, and a later word replaces an earlier one") {
   shared_calls calls;
   CHECK_FALSE(calls.any_heard());
-  calls.take(told("a", false, 2, 1), 1s);
-  calls.take(told("b", false, 3, 0), 1s);
+  calls.take(call_report("a", false, 2, 1), 1s);
+  calls.take(call_report("b", false, 3, 0), 1s);
   CHECK(calls.at(kEngine) == open_calls{5, 1, 2});
-  calls.take(told("a", false, 0, 4), 1s);
+  calls.take(call_report("a", false, 0, 4), 1s);
   CHECK(calls.at(kEngine) == open_calls{3, 4, 2});
 }
 
 TEST_CASE("a complete message forgets what it does not name") {
   shared_calls calls;
-  calls.take(told("a", false, 2, 1), 1s);
-  calls.take(told("a", true, 1, 0, BackendId("e2")), 1s);
+  calls.take(call_report("a", false, 2, 1), 1s);
+  calls.take(call_report("a", true, 1, 0, BackendId("e2")), 1s);
   CHECK(calls.at(kEngine) == open_calls{});
   CHECK(calls.at(BackendId("e2")) == open_calls{1, 0, 1});
 }
 
 TEST_CASE("a silent node counts no longer") {
   shared_calls calls;
-  calls.take(told("a", false, 2, 1), 1s);
-  calls.take(told("b", false, 3, 0), 3s);
+  calls.take(call_report("a", false, 2, 1), 1s);
+  calls.take(call_report("b", false, 3, 0), 3s);
   calls.forget_silent(4500ms);
   CHECK(calls.at(kEngine) == open_calls{3, 0, 1});
   calls.forget_silent(10s);
@@ -65,7 +65,7 @@
       const open_calls value{static_cast<std::uint32_t>(*rc::gen::inRange(0, 5)),
                              static_cast<std::uint32_t>(*rc::gen::inRange(0, 5))};
       const bool complete = *rc::gen::inRange(0, 4) == 0;
-      calls.take(told(node, complete, value.live, value.batch, BackendId(engine)), 1s);
+      calls.take(call_report(node, complete, value.live, value.batch, BackendId(engine)), 1s);
       if (complete) {
         expected[node].clear();
       }
@@ -88,7 +88,7 @@
   calls.expect("a", kEngine, 1s);
   calls.expect("a", kEngine, 1s);
   CHECK(calls.at(kEngine) == open_calls{2, 0, 1});
-  calls.take(told("a", false, 1, 0), 1s);
+  calls.take(call_report("a", false, 1, 0), 1s);
   CHECK(calls.at(kEngine) == open_calls{1, 0, 1});
 }
 
@@ -103,23 +103,23 @@
 
 TEST_CASE("an engine is silent when at least half of the nodes with calls there hear nothing of it") {
   shared_calls calls;
-  const auto word = [](const std::string& node, std::uint32_t live, bool silent) {
-    wire::EngineActivityT message = told(node, false, live, 0);
+  const auto live_report = [](const std::string& node, std::uint32_t live, bool silent) {
+    wire::EngineActivityT message = call_report(node, false, live, 0);
     message.engines.front()->silent = silent;
     return message;
   };
-  calls.take(word("a", 1, false), 1s);
+  calls.take(live_report("a", 1, false), 1s);
   CHECK_FALSE(calls.at(kEngine).silent());
-  calls.take(word("a", 1, true), 1s);
+  calls.take(live_report("a", 1, true), 1s);
   CHECK(calls.at(kEngine).silent());
-  calls.take(word("b", 2, false), 1s);
+  calls.take(live_report("b", 2, false), 1s);
   CHECK(calls.at(kEngine).silent());
-  calls.take(word("c", 1, false), 1s);
+  calls.take(live_report("c", 1, false), 1s);
   CHECK_FALSE(calls.at(kEngine).silent());
-  calls.take(word("b", 0, false), 1s);
-  calls.take(word("c", 0, false), 1s);
+  calls.take(live_report("b", 0, false), 1s);
+  calls.take(live_report("c", 0, false), 1s);
   CHECK(calls.at(kEngine).silent());
-  calls.take(word("a", 0, true), 1s);  // its calls have ended: no node with calls there is left
+  calls.take(live_report("a", 0, true), 1s);  // its calls have ended: no node with calls there is left
   CHECK_FALSE(calls.at(kEngine).silent());
 }
 
@@ -127,14 +127,14 @@
   shared_calls calls;
   calls.expect("a", kEngine, 1s);
   calls.expect("b", kEngine, 1s);
-  calls.take(told("b", false, 1, 0), 1s + 10ms);
+  calls.take(call_report("b", false, 1, 0), 1s + 10ms);
   CHECK(calls.at(kEngine).live == 2);
   calls.forget_unfulfilled(1s + 149ms);
   CHECK(calls.at(kEngine).live == 2);
   calls.forget_unfulfilled(1s + 150ms);
   CHECK(calls.at(kEngine) == open_calls{1, 0, 1});
   calls.expect("a", kEngine, 2s);
-  calls.take(told("a", true, 1, 0, BackendId("e2")), 2s + 10ms);
+  calls.take(call_report("a", true, 1, 0, BackendId("e2")), 2s + 10ms);
   calls.forget_unfulfilled(3s);
   CHECK(calls.at(kEngine).live == 1);
   CHECK(calls.at(BackendId("e2")).live == 1);
@@ -143,7 +143,7 @@
 TEST_CASE("a word that was overtaken on its way changes nothing, and one of a node that started anew counts") {
   shared_calls calls;
   const auto numbered = [](std::uint64_t number, std::uint32_t live) {
-    wire::EngineActivityT message = told("a", false, live, 0);
+    wire::EngineActivityT message = call_report("a", false, live, 0);
     message.number = number;
     return message;
   };
