--- a/src/routing/call_announcer.hpp
+++ b/src/routing/call_announcer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Tells the other gateways which calls this node has open at which engines.
+/// @file Reports to the other gateways how many calls this node has open at each engine.
 
 #include <functional>
 #include <set>
@@ -12,24 +12,26 @@
 
 namespace madderdeck::routing {
 
-/// Changes within a time that grows with the number of peers share a message, so that no node gets more than a bounded
-/// number of messages a second; once a second everything is told. Single threaded.
+/// Sends changes in batches: all changes within delay() share one message. The delay grows with the number of peers,
+/// which bounds the number of messages a node receives per second. Once a second a complete report is sent. Single
+/// threaded.
 class call_announcer {
  public:
   using peers = std::function<std::vector<PeerAddress>()>;
-  using looks_after = std::function<bool(const BackendId&)>;
+  using owner_check = std::function<bool(const BackendId&)>;
 
-  /// @param to the peers that choose engines.
-  /// @param own whether this node tells what an engine reports and nobody has told of.
+  /// @param to returns the peers that choose engines.
+  /// @param own returns whether this node also reports the requests that an engine's load report contains but no call
+  ///        report does.
   call_announcer(Environment& environment, Counters& counters, Registry& registry, std::string node, peers to,
-                 looks_after own);
+                 owner_check own);
 
   void start();
-  /// This node's calls at @p engine are others than before.
+  /// Call this when the number of this node's calls at @p engine changes.
   void changed(const BackendId& engine);
-  /// @param time how long live calls lately waited for batch work to yield.
+  /// @param time how long live calls recently waited for batch work to free a slot.
   void set_time_to_yield(Duration time) { time_to_yield_ = time; }
-  /// @return how late a change may reach the peers; the age of what they tell.
+  /// @return the longest time between a change and its report; the peers' reports are out of date by up to as much.
   Duration delay() const { return delay_; }
 
  private:
@@ -40,8 +42,8 @@
   Counters& counters_;
   Registry& registry_;
   const std::string node_;
-  const peers to_;
-  const looks_after own_;
+  const peers announce_peers_;
+  const owner_check owns_;
   word_numbers numbers_;
   std::set<BackendId> changed_;
   Duration time_to_yield_{};
