--- a/src/ledger/ballot.hpp
+++ b/src/ledger/ballot.hpp
@@ -9,7 +9,7 @@
 
 namespace madderdeck::ledger {
 
-/// Attempts are ordered by counter, then by proposer. The zero ballot precedes them all.
+/// Attempts are ordered by counter, then by proposer. The zero ballot precedes all others.
 struct Ballot {
   std::uint64_t counter = 0;
   std::uint64_t proposer = 0;
--- a/src/ledger/client.hpp
+++ b/src/ledger/client.hpp
@@ -19,13 +19,13 @@
 
 using OptionalValue = std::optional<wire::Bytes>;
 
-/// Computes the next value from the current one; returns nothing to leave the record as it is.
-/// May run several times for one change, and may see its own earlier effect: a value has to
-/// carry who wrote it wherever that matters.
+/// Computes the next value from the current one; returns nothing to leave the record unchanged. May be called several
+/// times for one change and may see a value that an earlier call of its own produced. A value therefore has to identify
+/// its writer wherever that matters.
 using ChangeFunction = std::function<OptionalValue(const OptionalValue& current)>;
 
-/// Receives the value that stands after the change. ErrorKind::unavailable: nothing was
-/// written. ErrorKind::ambiguous: the change may or may not take effect later.
+/// Receives the value of the record after the change. ErrorKind::unavailable: nothing was written.
+/// ErrorKind::ambiguous: the change may or may not take effect later.
 using ChangeDone = std::function<void(Result<OptionalValue>)>;
 
 struct ScanRecord {
@@ -39,94 +39,97 @@
 };
 using ScanDone = std::function<void(Result<ScanPage>)>;
 
-/// What a scan brings.
+/// What a scan returns.
 enum class ScanContent {
   values,  ///< Keys and values.
   keys,    ///< Keys only; values are empty.
 };
 
 struct ClientOptions {
-  Duration attempt_timeout = 400ms;  ///< Of the first attempt at a scan; each further one has twice as long.
-  /// Slowest link over which a value is sent; an attempt is given the time that its bytes take there.
+  Duration attempt_timeout = 400ms;  ///< Timeout of the first attempt; each further attempt doubles it.
+  /// Lowest assumed bandwidth for sending values; the timeout of an attempt is extended by the transfer time of its
+  /// value at this rate.
   std::size_t least_bytes_per_second = 1 << 20;
   Duration operation_timeout = 4s;
-  /// How long a change that a majority holds waits for the remaining replicas.
+  /// How long a change that a majority has accepted waits for the remaining replicas.
   Duration full_copy_wait = 20ms;
   Duration backoff_unit = 5ms;
-  /// How long the value of a scan is waited for when the other replicas have told their ballots.
+  /// How long a scan waits for the values once the other replicas have sent their ballots.
   Duration value_wait = 200ms;
-  /// Slowest link over which the values of fetched records come; they are given that much longer.
+  /// Lowest assumed bandwidth for values of fetched records; a fetch waits longer by their transfer time at this rate.
   std::size_t least_value_bytes_per_second = 4 << 20;
-  /// Fetched records that are settled at the same time: each takes two rounds with the whole group.
+  /// Limit on fetched records that are settled concurrently: each takes two rounds with the whole group.
   std::size_t most_settled_at_once = 8;
-  /// A replica that kept a scan waiting so is not the first to be asked for values for this long.
+  /// For how long a replica that delayed a scan is not the first choice as the source of values.
   Duration avoid_silent = 2s;
 };
 
-/// @return how far a node is from here; the least is asked for values.
+/// @return the distance of a node from this one; values are requested from the nearest node.
 using NodeDistance = std::function<unsigned(const NodeId&)>;
 
-/// Proposer for all records. Owned by one node, single threaded.
+/// Proposer for all records. Owned by one node, single-threaded.
 class Client {
  public:
   Client(Environment& environment, Counters& counters, AddressLookup addresses, ClientOptions options = {},
          NodeDistance distance = nullptr);
 
-  /// Takes a published map. Of each group the latest epoch known stands.
+  /// Merges a published map: for each group the latest known epoch is kept.
   void on_group_map(const GroupMap& map);
-  /// Takes a decided description of one group.
-  /// @return whether it is later than what was known.
+  /// Learns a decided description of one group.
+  /// @return whether it is of a later epoch than the known description.
   bool learn(std::uint32_t group, const ReplicaGroup& description);
   bool has_group_map() const { return !map_.groups.empty(); }
-  /// @return whether a later epoch has named the node of @p replica with another disk: this one is lost, whatever a
-  ///         belief about the node from before still says.
+  /// @return whether a later epoch names the node of @p replica with another disk. The disk of @p replica is then lost,
+  ///         whatever the membership table still says about the node.
   bool is_obsolete(const ReplicaIdentity& replica) const { return obsolete_.contains(replica); }
   const GroupMap& group_map() const { return map_; }
 
   /// Changes one record atomically.
   void change(const std::string& key, ChangeFunction function, ChangeDone done);
-  /// Reads one record, linearizably.
+  /// Reads one record linearizably.
   void read(const std::string& key, ChangeDone done);
-  /// Writes a record that no one else ever writes (its key holds an identifier made for this
-  /// write). Saves the prepare round.
+  /// Writes a record that has no other writer (its key holds an identifier made for this write). Saves the prepare
+  /// round.
   void write_exclusive(const std::string& key, wire::Bytes value, ChangeDone done);
-  /// Lets the members of the present epoch decide the next one: the first proposal that a quorum
-  /// takes stands, and is told to all concerned.
-  /// @param rule who must agree: the majority, unless a member of an even group is proven lost or another one was
-  ///        named the sole decider.
+  /// Has the members of the current epoch decide the next one: the first proposal that a quorum accepts is decided and
+  /// is sent to all members of both epochs.
+  /// @param rule which members must agree: a majority, unless a member of an even group is proven lost or one member
+  ///        was named the sole decider.
+  /// @param done receives the decided description, or the reason why none was decided.
   /// @p done gets the description that stands, or why none was decided.
   void decide_next(std::uint32_t group, const ReplicaGroup& next, const EpochRule& rule,
                    std::function<void(Result<ReplicaGroup>)> done);
-  /// Lets the members of the present epoch decide the next one with the same members, unless another one is decided:
-  /// afterwards it is known whom that epoch names.
+  /// Has the members of the current epoch decide the next one with unchanged members, unless another proposal is
+  /// decided first. Afterwards it is known which disks the next epoch names.
   void settle_next(std::uint32_t group, std::function<void(Result<ReplicaGroup>)> done);
-  /// Tells everybody named in the present description of @p group about it.
+  /// Sends the current description of @p group to every replica that it names.
   void announce_group(std::uint32_t group);
-  /// Tells @p node the present description of @p group.
+  /// Sends the current description of @p group to @p node.
   void tell_group(std::uint32_t group, const NodeId& node);
-  /// Lists records of one partition that start with @p prefix, after @p after. Values come from the
-  /// nearest replica; the others tell their ballots, which show whether its values stand.
+  /// Lists the records of one partition whose keys start with @p prefix and follow @p after. Values come from the
+  /// nearest replica; the other replicas send their ballots, which show whether these values are chosen.
   void scan(const std::string& prefix, const std::string& after, std::uint32_t limit, ScanDone done,
             ScanContent content = ScanContent::values);
-  /// As scan(), but gives up after @p patience.
+  /// Like scan(), but fails after @p patience.
   void scan_within(Duration patience, const std::string& prefix, std::uint32_t limit, ScanDone done);
-  /// As scan(), in the group of that number.
+  /// Like scan(), in the group with the given number.
   void scan_group(std::uint32_t group, const std::string& prefix, const std::string& after, std::uint32_t limit,
                   ScanDone done, ScanContent content = ScanContent::values);
-  /// Reads the records of one partition that are named, with one question to each replica: as many of the first as @p
-  /// max_bytes hold, at least one. Those that do not exist are left out; next_after is the first key that was not
-  /// reached, or empty. Gives up after @p patience.
+  /// Reads the named records of one partition with one request to each replica. Returns as many of the first ones as @p
+  /// max_bytes hold, at least one. Records that do not exist are left out; next_after is the first key that was not
+  /// reached, or empty. Fails after @p patience.
   void fetch(const std::vector<std::string>& keys, std::size_t max_bytes, Duration patience, ScanDone done);
 
-  /// Told of each request to a replica; may be empty.
+  /// Called for each request sent to a replica; may be empty.
   std::function<void(const NodeId&)> on_asked;
-  /// Told when a replica refuses a request of the epoch; may be empty.
+  /// Called when a replica refuses a request for the epoch; may be empty.
   std::function<void(const PeerAddress&, std::uint32_t group, std::uint64_t epoch, wire::ReplicaStatus)> on_refusal;
 
-  /// Told when a replica takes a request of the epoch: it votes; may be empty.
+  /// Called when a replica grants a request for the epoch, which shows that it votes; may be empty.
   std::function<void(const PeerAddress&, std::uint32_t group, std::uint64_t epoch)> on_granted;
 
-  /// Told how the members answered a proposal of a group's next epoch, before its own answer is given; may be empty.
+  /// Called with the members' answers to a proposal of a group's next epoch, before the result is reported; may be
+  /// empty.
   std::function<void(std::uint32_t group, const decision_votes&)> on_decision;
 
   void handle(const PeerAddress& sender, const wire::PromiseT& message);
@@ -134,10 +137,10 @@
   void handle(const PeerAddress& sender, const wire::ScanReplyT& message);
 
  private:
-  /// What a member said with a refusal of a scan.
+  /// What a member reported when it refused a scan.
   struct member_refusal {
     wire::ReplicaStatus status = wire::ReplicaStatus::NotReady;
-    wire::ReplicaStanding standing = wire::ReplicaStanding::NotSaid;  ///< Also of members of earlier versions.
+    wire::ReplicaStanding standing = wire::ReplicaStanding::NotSaid;  ///< NotSaid also for members of earlier versions.
     std::uint64_t known_epoch = 0;
     std::uint64_t copied_bytes = 0;
     std::uint32_t waits_ms = 0;
@@ -149,46 +152,48 @@
     ChangeDone done;
     Timestamp deadline{};
     Phase phase = Phase::waiting;
-    std::uint64_t request = 0;  ///< of the current attempt; answers to others are dropped
+    std::uint64_t request = 0;  ///< Of the current attempt; answers to other attempts are dropped.
     ReplicaGroup group;
     std::uint32_t group_number = 0;
     Ballot ballot;
     std::set<std::uint32_t> granted;
     std::size_t refused = 0;
     Ballot best_accepted;
-    std::size_t best_count = 0;  ///< replicas that reported best_accepted
+    std::size_t best_count = 0;  ///< Number of replicas that reported best_accepted.
     OptionalValue value;
     bool accept_sent = false;
     bool exclusive = false;
     EpochRule rule;
-    std::map<PeerAddress, wire::ReplicaStatus> refusals;  ///< The latest one of each member, in all attempts.
-    std::optional<std::uint64_t> only_epoch;  ///< Of a decision: its rule holds for the members of that epoch alone.
-    std::size_t admitted = 0;                 ///< Of a decision: members that granted it and vote on records.
-    std::size_t whole = 0;        ///< Of a decision: members that granted it and are whole, but one that is let go.
-    std::size_t say_nothing = 0;  ///< Of a decision: members of earlier versions that granted it.
+    std::map<PeerAddress, wire::ReplicaStatus> refusals;  ///< The latest refusal of each member over all attempts.
+    std::optional<std::uint64_t> only_epoch;  ///< Of a decision: the epoch for whose members alone its rule is valid.
+    std::size_t admitted = 0;                 ///< Of a decision: number of members that granted it and vote on records.
+    std::size_t whole = 0;  ///< Of a decision: number of members that granted it and hold every confirmed record,
+                            ///< without the one to be let go.
+    std::size_t say_nothing =
+        0;  ///< Of a decision: number of granting members of earlier versions, which do not report their standing.
     std::set<std::uint32_t> not_whole;  ///< Of a decision: members that granted it and may lack confirmed records.
-    std::optional<std::uint32_t> given_up_answer;  ///< Of a decision: the member to be given up, which answered.
+    std::optional<std::uint32_t> given_up_answer;  ///< Of a decision: set when the member to be given up has answered.
     unsigned attempts = 0;
 
-    /// @return whether those that granted a decision hold every confirmed record.
+    /// @return whether the members that granted a decision together hold every confirmed record.
     bool is_safe_to_decide() const;
     std::size_t needed() const { return rule.quorum > 0 ? rule.quorum : group.majority(); }
-    /// @return whether the group's member with that number is to be given up.
+    /// @return whether member number @p replica of the group is to be given up.
     bool gives_up(std::uint32_t replica) const {
       return rule.given_up && replica < group.replicas.size() && group.replicas[replica] == *rule.given_up;
     }
-    /// @return whether the group's member with that number is to be let go.
+    /// @return whether member number @p replica of the group is to be let go.
     bool lets_go(std::uint32_t replica) const {
       return rule.let_go && replica < group.replicas.size() && group.replicas[replica] == *rule.let_go;
     }
-    /// @return whether the answer of the group's member with that number counts.
+    /// @return whether the answer of member number @p replica of the group counts.
     bool counts(std::uint32_t replica) const {
       return !rule.sole || (replica < group.replicas.size() && group.replicas[replica] == *rule.sole);
     }
   };
   struct Scan {
-    std::optional<std::uint32_t> named_group;  ///< Otherwise the one that the prefix or the first key belongs to.
-    std::uint32_t group_number = 0;            ///< Of the present attempt.
+    std::optional<std::uint32_t> named_group;  ///< Unset: the group of the prefix or of the first key.
+    std::uint32_t group_number = 0;            ///< Of the current attempt.
     std::string prefix;
     std::string after;
     std::uint32_t limit = 0;
@@ -201,10 +206,10 @@
     std::map<std::uint32_t, wire::ScanReplyT> replies;
     std::size_t refused = 0;
     ScanContent content = ScanContent::values;
-    std::optional<std::uint32_t> source;  ///< Replica asked for values; nothing: all of them.
+    std::optional<std::uint32_t> source;  ///< Replica that values are requested from; unset: all of them.
     bool value_timer = false;
     unsigned attempts = 0;
-    /// Of all attempts, by member and reason.
+    /// Number of refusals over all attempts, by member and reason.
     std::map<PeerAddress, std::map<wire::ReplicaStatus, unsigned>> refusals;
     std::map<PeerAddress, member_refusal> latest_refusals;
   };
@@ -219,47 +224,48 @@
   void finish(OperationId id, Result<OptionalValue> result);
   void give_up(OperationId id);
   void arm_attempt_timer(OperationId id, std::uint64_t request);
-  /// @return how long an attempt at @p operation may take: a value has to reach every replica.
+  /// @return the timeout of an attempt at @p operation, which includes the time to send the value to every replica.
   Duration attempt_time(const Operation& operation) const;
   void promises_complete(OperationId id, Operation& operation);
   void on_accept_progress(OperationId id, Operation& operation);
   void refuse(OperationId id, Operation& operation, const Ballot& promised);
-  /// Brings @p sender and this node to the same epoch after a refusal for its sake.
-  /// @return whether this node has learnt a later one.
+  /// Brings @p sender and this node to the same epoch after @p sender refused a request because of its epoch.
+  /// @return whether this node has learnt of a later epoch.
   template <class Reply>
   bool reconcile_epochs(const PeerAddress& sender, std::uint32_t group, const Reply& reply);
-  /// Sends @p request to all members while it is useful to them.
+  /// Sends @p request to all members; it is dropped once @p useful_for has passed.
   template <class Request>
   void broadcast(const ReplicaGroup& group, const Request& request, Duration useful_for);
   void note_asked(const NodeId& node) const;
   void note_granted(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch) const;
 
   void submit_scan(Scan scan, Duration patience);
-  /// Asks those that have not answered yet. What has come stays, unless the group is of another epoch by now.
+  /// Sends the request to the replicas that have not answered yet. Replies already received are kept unless the epoch
+  /// of the group has changed since.
   void start_scan(OperationId id);
   void begin_attempt(OperationId id, Scan& scan);
   void retry_scan(OperationId id);
-  /// @return the replica of @p group to ask for values.
+  /// @return the replica of @p group to request values from.
   std::uint32_t value_source(const ReplicaGroup& group) const;
   void ask_for_scan(const Scan& scan);
-  /// @return whether @p scan still needs the answer of the group's member with that number.
+  /// @return whether @p scan still needs the answer of member number @p replica of the group.
   static bool lacks_answer(const Scan& scan, std::uint32_t replica);
-  /// @return whether the replies tell what stands.
+  /// @return whether the replies are enough to determine the chosen values.
   static bool scan_complete(const Scan& scan);
   void await_value(OperationId id, Scan& scan);
   void finish_scan(OperationId id);
-  /// @return why no majority answered @p scan: first what each member said last, then all refusals that it gave.
+  /// @return why no majority answered @p scan: first the last answer of each member, then all of its refusals.
   Error scan_failure(const Scan& scan) const;
-  /// @return the node and its latest answer in few characters, so that a line that is cut still tells all of them.
+  /// @return the node and its latest answer in short form, so that a truncated log line still covers all members.
   std::string describe_member(const Scan& scan, std::uint32_t index) const;
   static std::string describe_refusal(const member_refusal& refusal, std::uint64_t epoch);
-  /// @return what was counted of refusals; empty: none.
+  /// @return the refusal counts by member and reason; empty if there were none.
   std::string count_refusals(const Scan& scan) const;
-  /// @return why no majority agreed to @p operation: what each member said last.
+  /// @return why no majority granted @p operation: the last answer of each member.
   std::string operation_failure(const Operation& operation) const;
-  /// @return how the members answered @p operation, a decision, last.
+  /// @return the last answer of each member to @p operation, which is a decision.
   decision_votes votes_on(const Operation& operation) const;
-  /// @return the records that a majority's replies tell, and which of them have to be settled.
+  /// @return the records in the replies of a majority, and which of them have to be settled.
   static std::shared_ptr<MergedPage> merge_replies(const Scan& scan);
   void settle(const std::shared_ptr<MergedPage>& page, ScanDone done);
   template <class Items>
@@ -271,7 +277,7 @@
   const ClientOptions options_;
   const NodeDistance distance_;
   std::set<ReplicaIdentity> obsolete_;
-  std::map<NodeId, Timestamp> silent_until_;  ///< Replicas that kept scans waiting.
+  std::map<NodeId, Timestamp> silent_until_;  ///< Replicas that delayed scans, and until when others are preferred.
   const std::uint64_t proposer_;
   GroupMap map_;
   std::uint64_t highest_counter_ = 0;
--- a/src/ledger/copy_progress.hpp
+++ b/src/ledger/copy_progress.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file How the copy of a group to this disk goes: for operators only, nothing is decided by it.
+/// @file Progress of copying a group to this disk. Reported to operators only; no decision depends on it.
 
 #include <cstdint>
 #include <map>
@@ -11,63 +11,65 @@
 
 namespace madderdeck::ledger {
 
-/// What one source of a copy has sent.
+/// What one source of a copy has sent so far.
 struct source_progress {
-  std::uint64_t pages = 0;    ///< Of ballots or of values.
-  std::uint64_t records = 0;  ///< Values.
-  std::uint64_t bytes = 0;    ///< Of these values.
+  std::uint64_t pages = 0;    ///< Pages of ballots or of values.
+  std::uint64_t records = 0;  ///< Number of values.
+  std::uint64_t bytes = 0;    ///< Size of these values.
 };
 
-/// The copy of one group. A copy that starts again before the replica votes, also in a later epoch, is the same one.
+/// Progress of copying one group. A copy that restarts before the replica votes, also in a later epoch, counts as the
+/// same copy.
 struct copy_progress {
   Timestamp began_at{};
-  bool to_vote = false;  ///< The replica does not vote before it is done; otherwise it catches up.
+  bool to_vote = false;  ///< The replica does not vote until this copy is complete; otherwise the replica votes already
+                         ///< and catches up.
   std::uint64_t restarts = 0;
   std::map<ReplicaIdentity, source_progress> sources;
 
-  /// @return what has come from all sources together.
+  /// @return the totals over all sources.
   source_progress total() const;
 };
 
-/// A source whose pages have not all come.
+/// A source that has not sent all of its pages yet.
 struct awaited_source {
   ReplicaIdentity identity;
-  Timestamp asked_at{};  ///< For the present page; zero: not asked yet.
+  Timestamp asked_at{};  ///< When the current page was requested; zero: not requested yet.
 };
 
-/// What a replica's part in a group is.
+/// The role of a replica in a group.
 enum class replica_role {
   voting,
-  copying,    ///< Its disk is new in the group: it votes once it has copied.
-  returning,  ///< It is copied from, and votes again once it has copied.
-  former,     ///< No member any more; copied from until it is gone.
-  left,       ///< The group names its disk no more.
+  copying,    ///< Its disk is new in the group; it votes once it has copied the records.
+  returning,  ///< Others copy from it; it votes again once it has copied the records.
+  former,     ///< No longer a member; others copy from it until the disk is removed.
+  left,       ///< The group no longer names its disk.
 };
 
-/// Why a replica does not vote before it has copied.
+/// Why a replica has to copy the records before it votes.
 enum class copy_reason {
   none,
-  new_disk,             ///< Its disk holds nothing of the group yet, or not all.
-  not_copied_before,    ///< It had not copied to the end in the epoch before.
-  epochs_missed,        ///< In those it has not seen its place may have been another's.
-  was_former,           ///< It had left the group.
-  members_not_covered,  ///< A member has gone while what a leaving one held was not here.
+  new_disk,             ///< Its disk holds none or not all of the group's records.
+  not_copied_before,    ///< Its copy was incomplete in the previous epoch.
+  epochs_missed,        ///< In the epochs that it missed its place may have belonged to another disk.
+  was_former,           ///< It had left the group before.
+  members_not_covered,  ///< A member is gone, and this replica lacked what a leaving member held.
 };
 
-/// A replica's step into an epoch, or its return to it when its process starts.
+/// A replica's transition to an epoch, or its return to an epoch when its process starts.
 struct epoch_step {
   std::uint32_t group = 0;
-  std::uint64_t from_epoch = 0;  ///< The same when its process starts; 0: none.
+  std::uint64_t from_epoch = 0;  ///< Equal to the new epoch when its process starts; 0: none.
   const ReplicaGroup& description;
   replica_role role = replica_role::voting;
   copy_reason reason = copy_reason::none;
 };
 
-/// @return the names that logs show.
+/// @return the names used in logs.
 const char* name_of(replica_role role);
 const char* name_of(copy_reason reason);
 
-/// @return as many bytes in few characters: "812 KB", "3.1 MB".
+/// @return the size in short form: "812 KB", "3.1 MB".
 std::string short_bytes(std::uint64_t bytes);
 
 }  // namespace madderdeck::ledger
--- a/src/ledger/disk_observer.hpp
+++ b/src/ledger/disk_observer.hpp
@@ -1,12 +1,12 @@
 #pragma once
-/// @file Told when operations of a disk begin and end, so that one that hangs can be seen meanwhile.
+/// @file Interface that reports when disk operations begin and end, so that an operation that hangs can be detected.
 
 #include <cstddef>
 #include <string_view>
 
 namespace madderdeck::ledger {
 
-/// What may keep its thread waiting for the disk.
+/// Disk operations that may block their thread.
 enum class disk_operation { open, read, write, sync };
 inline constexpr std::size_t kDiskOperations = 4;
 
@@ -25,17 +25,17 @@
   return "unknown";
 }
 
-/// Called on the thread of the operation. Operations of one kind may be nested, and have one thread at a time.
+/// Called on the thread of the operation. Operations of one kind may be nested and run on one thread at a time.
 class disk_observer {
  public:
   virtual ~disk_observer() = default;
   virtual void began(disk_operation operation) = 0;
   virtual void ended(disk_operation operation) = 0;
-  /// @param count callers that wait for a sync now, of the one under way and of the next.
+  /// @param count callers that wait for a sync now, for the one in progress and the next one.
   virtual void callers_waiting(std::size_t count) = 0;
 };
 
-/// An operation that lasts as long as its scope.
+/// Reports an operation that lasts as long as this object.
 class observed_operation {
  public:
   /// @param observer may be null.
--- a/src/ledger/gone_disks.hpp
+++ b/src/ledger/gone_disks.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Which disks that a group names are gone for good, as far as this node can know it: for operators only, nothing
-/// is decided by it.
+/// @file Determines which disks named by a group are permanently gone, as far as this node knows. Reported to operators
+/// only; no decision depends on it.
 
 #include <functional>
 #include <map>
@@ -13,49 +13,49 @@
 
 namespace madderdeck::ledger {
 
-/// Why a disk is taken to be gone for good.
+/// Why a disk is considered permanently gone.
 enum class gone_reason {
-  disk_replaced,     ///< Its node runs, or ran, with another disk.
-  emptied,           ///< The emptying of its node is completed.
-  dead_as_it_left,   ///< Its node was being emptied and is dead; whether that was completed is not known here.
-  dead_for_long,     ///< Its node has been dead for longer than the policy's time.
-  unknown_for_long,  ///< The same time has passed without word of its node.
+  disk_replaced,    ///< Its node runs, or last ran, with another disk.
+  emptied,          ///< Its node has been drained completely.
+  dead_as_it_left,  ///< Its node was being drained and is dead; this node does not know whether draining was completed.
+  dead_for_long,    ///< Its node has been dead for longer than the policy allows.
+  unknown_for_long,  ///< Its node has been unknown for the same time.
 };
 
-/// @return the name that logs and the command line show.
+/// @return the name used in logs and by the command line tool.
 const char* name_of(gone_reason reason);
 
-/// A disk that will not come back.
+/// A disk that is considered permanently gone.
 struct gone_disk {
   ReplicaIdentity identity;
   gone_reason reason = gone_reason::disk_replaced;
   std::string why;  ///< For operators.
 };
 
-/// @return "node/disk reason" of each.
+/// @return "node/disk reason" of each disk.
 std::string text_of(const std::vector<gone_disk>& disks);
 
-/// What a node knows of disks and machines.
+/// Sources of what this node knows about disks and machines.
 struct disk_knowledge {
-  /// What is believed of a node; null when it is not known.
+  /// Returns the membership entry of a node; null when the node is not known.
   std::function<const wire::MemberT*(const NodeId&)> member;
-  /// Whether a later epoch has named the node with another disk; may be empty.
+  /// Returns whether a later epoch names the node with another disk; may be empty.
   std::function<bool(const ReplicaIdentity&)> is_obsolete;
-  /// Without word of a node for so long its disk is taken to be gone; empty: that is not known.
+  /// Time without contact after which a node's disk is considered gone; empty: not known.
   std::function<Duration()> patience;
-  /// Whether the emptying of a node is completed; nothing, or empty: this node does not hear of that.
+  /// Returns whether a node has been drained; an empty result or function means that this node is not informed.
   std::function<std::optional<bool>(const NodeId&)> is_emptied;
 };
 
-/// Keeps since when the nodes that groups name have been away. Owned by one node, single threaded.
+/// Tracks since when the nodes named by groups have been away. Owned by one node, single-threaded.
 class gone_disks {
  public:
   gone_disks(Environment& environment, disk_knowledge known);
 
   disk_knowledge& known() { return known_; }
-  /// Notes which nodes that @p groups name are away now; to be called regularly.
+  /// Records which nodes named by @p groups are away now; has to be called regularly.
   void look(const std::vector<ReplicaGroup>& groups);
-  /// @return the disks that @p group names, members and leaving ones, that are gone for good.
+  /// @return the disks named by @p group, members and leaving members, that are permanently gone.
   std::vector<gone_disk> named_by(const ReplicaGroup& group) const;
 
  private:
--- a/src/ledger/group_health.hpp
+++ b/src/ledger/group_health.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Whether the replica groups have a majority that can vote, as far as this node knows: for operators only,
-/// nothing is decided by it.
+/// @file Tracks whether each replica group has a majority that can vote, as far as this node knows. Reported to
+/// operators only; no decision depends on it.
 
 #include <functional>
 #include <map>
@@ -18,31 +18,31 @@
 
 namespace madderdeck::ledger {
 
-/// Why a member of a group counts towards its majority, or does not.
+/// Whether a member of a group counts towards its majority, and why not.
 enum class member_state {
-  counts,         ///< It has said that it votes, or nothing speaks against it since the group was founded.
-  not_heard,      ///< It joined in a later epoch and has not said yet whether it votes: it is being asked.
-  not_admitted,   ///< It still copies from the others.
-  unknown_epoch,  ///< It does not know the group's present epoch.
-  silent,         ///< It answers probes, but none of the ledger's requests.
-  suspected,      ///< It has not answered the latest probes.
+  counts,         ///< It has reported that it votes, or nothing indicates otherwise since the group was founded.
+  not_heard,      ///< It joined after the founding epoch and has not reported yet whether it votes; it is being asked.
+  not_admitted,   ///< It is still copying records from the other members.
+  unknown_epoch,  ///< It does not know the group's current epoch.
+  silent,         ///< It answers probes, but no ledger requests.
+  suspected,      ///< It has not answered the most recent probes.
   dead,
   disk_replaced,  ///< Its node runs with another disk.
-  unknown_node,   ///< This node has not heard of it.
+  unknown_node,   ///< This node does not know its node.
 };
 
-/// What a member's state is known by.
+/// The source from which a member's state is known.
 enum class evidence {
-  nothing,     ///< No word yet.
-  founding,    ///< A group is founded on disks that lack nothing.
-  membership,  ///< What the nodes believe of its node.
-  requests,    ///< Whether the ledger's requests to it are answered.
+  nothing,     ///< Nothing has been received yet.
+  founding,    ///< The disks of a group in its founding epoch lack no records.
+  membership,  ///< The membership state of its node.
+  requests,    ///< Whether its node answers ledger requests.
   refusal,     ///< It refused a request of this node.
-  word,        ///< It granted a request of this node, or said so when it was asked.
-  own_disk,    ///< It is this node.
+  word,        ///< It granted a request of this node, or reported its state when asked.
+  own_disk,    ///< It is a replica of this node.
 };
 
-/// @return the names that logs and the command line show.
+/// @return the names used in logs and by the command line tool.
 const char* name_of(member_state state);
 const char* name_of(evidence known_by);
 
@@ -51,10 +51,10 @@
   ReplicaIdentity identity;
   member_state state = member_state::counts;
   evidence known_by = evidence::nothing;
-  Duration held_for{};  ///< For how long this node has seen it so.
-  /// How long ago it answered a request or question of this node; nothing: it has answered none.
+  Duration held_for{};  ///< For how long this node has seen it in this state.
+  /// Time since it last answered a request or question of this node; nothing: it has answered none.
   std::optional<Duration> heard_ago;
-  std::optional<PeerAddress> address;  ///< Nothing: this node does not know where it is.
+  std::optional<PeerAddress> address;  ///< Nothing: this node does not know its address.
 };
 
 /// One group as this node sees it.
@@ -62,69 +62,70 @@
   std::uint32_t group = 0;
   std::uint64_t epoch = 0;
   std::vector<member_view> members;
-  std::vector<gone_disk> gone;  ///< Disks that it names and that are gone for good; only without a majority.
+  std::vector<gone_disk>
+      gone;  ///< Disks named by the group that are permanently gone; determined only when there is no majority.
 
   std::size_t counting() const;
   std::size_t not_heard() const;
-  /// @return how many members make its majority.
+  /// @return the number of members that form a majority.
   std::size_t needed() const { return members.size() / 2 + 1; }
   bool has_majority() const { return counting() >= needed(); }
-  /// @return whether it has a majority if those vote that have not been heard.
+  /// @return whether it would have a majority if all members with state not_heard voted.
   bool may_have_majority() const { return counting() + not_heard() >= needed(); }
   /// @return "node/disk state" of each member.
   std::string text() const;
-  /// @return of each member that does not count: its state, for how long, the last word from it, and its address.
+  /// @return for each member that does not count: its state, for how long, when it was last heard, and its address.
   std::string uncounted_text() const;
 };
 
-/// Tells operators of groups that lose their majority and of replicas that are not admitted for long. What it knows
-/// comes from membership, from answers to this node's own requests and from asking members that joined after the
-/// founding epoch, or have refused a request, whether they are admitted. That is asked with growing pauses, one
-/// question a second at most, and not again once it is said, unless the member refuses a request. A group is told as
-/// lost only where it has no majority even with those that have not been heard, and as regained only without them.
-/// Owned by one node, single threaded.
+/// Reports to operators when groups lose their majority and when replicas are not admitted for long. The information
+/// comes from membership, from answers to this node's own requests, and from questions whether a member is admitted,
+/// sent to members that joined after the founding epoch or have refused a request. These questions are sent with
+/// increasing pauses, at most one per second, and end once the member has answered, unless it refuses a request again.
+/// A loss is reported only if the group has no majority even counting members with state not_heard; recovery only if it
+/// has a majority without them. Owned by one node, single-threaded.
 class group_health {
  public:
-  /// What this node believes of another one, or of itself; null when it does not know it.
+  /// Returns the membership entry of a node, or of this one; null when the node is not known.
   using member_lookup = std::function<const wire::MemberT*(const NodeId&)>;
 
   /// @param replica null on nodes without a disk.
   group_health(Environment& environment, Counters& counters, DecisionLog& log, const Client& client,
                const Replica* replica, member_lookup member);
 
-  /// Takes what tells disks that are gone for good: for how long a node is waited for, and whether it was emptied.
+  /// Sets how permanently gone disks are recognized: the time to wait for a node, and whether a node was drained.
   void judge_losses(std::function<Duration()> patience, std::function<std::optional<bool>(const NodeId&)> is_emptied);
   void start();
 
-  /// This node has sent a request of the ledger that @p node will answer.
+  /// Called when this node has sent a ledger request that @p node is expected to answer.
   void on_asked(const NodeId& node);
-  /// An answer of the ledger has come, whatever it says.
+  /// Called for each answer to a ledger request, whatever its content.
   void on_heard(const PeerAddress& sender);
-  /// A member has taken a request of this node at @p epoch.
+  /// Called when a member has granted a request of this node at @p epoch.
   void on_granted(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch);
-  /// A member has refused a request of this node at @p epoch.
+  /// Called when a member has refused a request of this node at @p epoch.
   void on_refusal(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch, wire::ReplicaStatus status);
-  /// A member says how it stands.
+  /// Handles a member's report of its standing.
   void handle(const PeerAddress& sender, const wire::CopyStatusT& message);
 
   /// @return all groups that this node knows.
   std::vector<group_view> views() const;
   group_view view(std::uint32_t group) const;
-  /// @return what is known of why @p member of @p group is in its state, for operators.
+  /// @return the known reason for the state of @p member of @p group, for operators.
   std::string explain(std::uint32_t group, const member_view& member) const;
 
  private:
-  /// What a member was heard to say about one group.
+  /// What a member has reported about one group.
   struct word {
-    std::optional<member_state> said;  ///< counts, not_admitted or unknown_epoch.
-    evidence by = evidence::nothing;   ///< What was heard with a refusal holds for a while only.
-    bool answered = false;             ///< It has answered, maybe without telling whether it votes.
+    std::optional<member_state> said;  ///< One of counts, not_admitted and unknown_epoch.
+    evidence by = evidence::nothing;   ///< A state derived from a refusal expires after a while.
+    bool answered = false;             ///< It has answered, possibly without reporting whether it votes.
     Timestamp heard_at{};
-    unsigned asked = 0;       ///< Questions at this epoch.
-    unsigned unanswered = 0;  ///< Questions since the last word.
-    Timestamp ask_at{};       ///< When the next one is due.
+    unsigned asked = 0;       ///< Number of questions at this epoch.
+    unsigned unanswered = 0;  ///< Number of questions since its last answer.
+    Timestamp ask_at{};       ///< When the next question is due.
   };
-  /// How a member was seen last.
+  /// The last observed state of a member.
   struct seen_member {
     member_state state = member_state::not_heard;
     Timestamp since{};
@@ -138,55 +139,56 @@
     std::map<ReplicaIdentity, seen_member> seen;
     std::map<ReplicaIdentity, word> words;
     bool told_lost = false;
-    std::optional<Timestamp> differs_since;  ///< Since when what was told is not so any more.
+    std::optional<Timestamp> differs_since;  ///< Since when the reported state no longer applies.
     Timestamp lost_since{};
-    Timestamp told_lost_at{};             ///< Zero: never.
-    std::set<ReplicaIdentity> told_gone;  ///< Since the majority was told as lost.
+    Timestamp told_lost_at{};             ///< When a loss was last reported; zero: never.
+    std::set<ReplicaIdentity> told_gone;  ///< Gone disks reported since the loss of the majority was reported.
   };
-  /// A replica of this node's disk that may not vote.
+  /// A replica on this node's disk that may not vote yet.
   struct waiting_replica {
     Timestamp since{};
     Timestamp tell_at{};
     Duration pause{};
   };
-  /// Requests of the ledger that a node leaves unanswered.
+  /// Ledger requests that a node has not answered.
   struct silence {
     Timestamp first{};
     Timestamp last{};
     unsigned requests = 0;
-    Timestamp heard_at{};  ///< When the latest answer came that was waited for; zero: none has.
+    Timestamp heard_at{};  ///< When the latest expected answer arrived; zero: none has.
   };
 
   void check();
-  /// Takes up a later epoch: disks that stay are still admitted.
+  /// Adopts later epochs: disks that remain members are still admitted.
   void take_epochs();
   void note_seen(std::uint32_t group, group_state& state) const;
   void review(std::uint32_t group, group_state& state);
   void tell(const group_view& seen, group_state& state);
-  /// Tells of disks that the group, which was told as lost, names and that are gone for good; of each once.
-  /// @return whether there is any.
+  /// Reports each permanently gone disk once that is named by a group whose loss of majority was reported.
+  /// @return whether there are any such disks.
   bool review_gone(std::uint32_t group, group_state& state);
   void review_admissions();
   void tell_waiting(const Replica::unadmitted& replica, const waiting_replica& waiting);
-  /// Asks the member whose question is due for longest, if one may go out now.
+  /// Asks the member whose question has been due for longest, if the rate limit permits a question now.
   void ask_next();
-  /// @return whether the member has to be asked how it stands.
+  /// @return whether the member has to be asked for its standing.
   bool has_to_be_asked(const ReplicaIdentity& identity, const word& heard) const;
   finding find_state(std::uint32_t group, const ReplicaIdentity& identity) const;
-  /// @return what the member was heard to say, if its node answers probes.
+  /// @return the state that the member has reported, provided that its node answers probes.
   finding heard_state(std::uint32_t group, const ReplicaIdentity& identity) const;
-  /// @return how this node's own replica stands.
+  /// @return the state of this node's own replica.
   member_state own_state(std::uint32_t group) const;
-  /// @return how its node stands, whatever it says about a group.
+  /// @return the state of its node, independent of what it reports about a group.
   member_state presence_of(const ReplicaIdentity& identity) const;
-  /// @return when the member last answered this node; zero: it has not.
+  /// @return when the member last answered this node; zero: never.
   Timestamp last_heard(std::uint32_t group, const ReplicaIdentity& identity) const;
   bool is_silent(const NodeId& node) const;
-  /// @return the word of the group's member at @p sender, if there is one.
+  /// @return the report of the group's member at @p sender; null if there is none.
   word* word_of(const PeerAddress& sender, std::uint32_t group);
-  /// @return the same if @p epoch is the present one.
+  /// @return the same if @p epoch is the current one; null otherwise.
   word* word_at(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch);
-  /// @return whether all members of @p group have said that they vote at @p epoch: true for each answer in calm.
+  /// @return whether all members of @p group have reported that they vote at @p epoch. This is the common case, checked
+  ///         for every answer.
   bool all_admitted(std::uint32_t group, std::uint64_t epoch) const;
   const ReplicaGroup& description(std::uint32_t group) const { return client_.group_map().groups[group]; }
 
--- a/src/ledger/groups.hpp
+++ b/src/ledger/groups.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Which disks hold which records.
+/// @file Replica groups: which disks hold which records.
 
 #include <cstdint>
 #include <functional>
@@ -13,30 +13,30 @@
 
 namespace madderdeck::ledger {
 
-/// A replica is a node together with the disk it had when it was admitted.
+/// A replica is a node together with the disk that it had when it was admitted.
 struct ReplicaIdentity {
   NodeId node;
   DiskId disk;
   auto operator<=>(const ReplicaIdentity&) const = default;
 };
 
-/// The replicas of one group; every change of them raises the epoch by one.
+/// The replicas of one group. Every change of them increments the epoch.
 struct ReplicaGroup {
   std::uint64_t epoch = 0;
   std::vector<ReplicaIdentity> replicas;
-  /// Former members that still hold what the others may lack; copied from before they go.
+  /// Former members that still hold records which the others may lack; copied from before they are removed.
   std::vector<ReplicaIdentity> leaving;
 
   std::size_t majority() const { return replicas.size() / 2 + 1; }
-  /// @return members and former members that leave.
+  /// @return the members and the leaving former members.
   std::vector<ReplicaIdentity> all() const;
   /// @return the position of @p identity, if it is a member.
   std::optional<std::uint32_t> index_of(const ReplicaIdentity& identity) const;
-  /// @return the source of copies with that number: replicas first, then those that leave.
+  /// @return the source of copies with the given number: replicas are numbered first, then leaving members.
   const ReplicaIdentity& source(std::uint32_t number) const {
     return number < replicas.size() ? replicas[number] : leaving.at(number - replicas.size());
   }
-  /// @return the number of @p identity among all sources of copies.
+  /// @return the source number of @p identity, if it is one.
   std::optional<std::uint32_t> source_number_of(const ReplicaIdentity& identity) const;
   bool operator==(const ReplicaGroup&) const = default;
 };
@@ -45,43 +45,46 @@
 struct GroupMap {
   std::vector<ReplicaGroup> groups;
 
-  /// @return the group of @p key. Keys look like "kind/partition/..." and all keys of one
-  ///         partition share a group, so that a job's records can be scanned in one place.
+  /// @return the group of @p key. Keys have the form "kind/partition/..." and all keys of one partition share a group,
+  ///         so that a job's records can be scanned in one place.
   std::uint32_t group_of(std::string_view key) const;
 };
 
-/// How many of @p members have to agree on their group's next epoch.
-/// @param one_lost whether the disk of one of them is proven lost. It takes no part any more, so that half of an even
-///        group is enough: any two halves of the others share a member, and each shares one with any majority.
+/// Returns how many of @p members have to agree on their group's next epoch.
+/// @param one_lost whether the disk of one of them is proven lost. A lost disk no longer takes part, so that half of an
+///        even group is enough: any two halves of the remaining members intersect, and each intersects every majority.
 std::size_t decision_quorum(std::size_t members, bool one_lost);
 
-/// Who of a group's members must agree on its next epoch. All may, whatever they hold; but either as many have to be
-/// admitted as have to agree, so that together they hold what was confirmed, or one of them has to be whole.
+/// Which of a group's members must agree on its next epoch. All members may vote on it, whatever they hold. However,
+/// either as many as have to agree must be admitted, so that together they hold all confirmed records, or one of them
+/// must be whole, that is, hold every confirmed record.
 struct EpochRule {
-  std::size_t quorum = 0;               ///< How many; 0: the majority.
-  std::optional<ReplicaIdentity> sole;  ///< Only this one's word counts, and it has to be whole.
-  /// A majority has to be whole: what a disk holds that is given up may stand nowhere else.
+  std::size_t quorum = 0;               ///< Number of members that must agree; 0: the majority.
+  std::optional<ReplicaIdentity> sole;  ///< Only the answer of this member counts, and it has to be whole.
+  /// A majority has to be whole: records on a disk that is given up may be held by no other disk.
   bool whole_majority = false;
-  std::size_t least_whole = 0;              ///< With whole_majority: not fewer, however small the group is.
-  std::optional<ReplicaIdentity> let_go;    ///< Is to be emptied: does not count among the whole ones.
-  std::optional<ReplicaIdentity> given_up;  ///< Taken for silent or lost: an answer of it ends the decision.
+  std::size_t least_whole = 0;  ///< With whole_majority: minimum number of whole members, however small the group is.
+  std::optional<ReplicaIdentity>
+      let_go;  ///< Member whose node is being drained; it does not count among the whole ones.
+  std::optional<ReplicaIdentity>
+      given_up;  ///< Member considered unreachable or lost; an answer from it ends the decision.
 };
 
-/// @return the key under which the members of epoch - 1 decide who holds @p group at @p epoch.
+/// @return the key of the record by which the members of epoch - 1 decide the replicas of @p group at @p epoch.
 std::string group_config_key(std::uint32_t group, std::uint64_t epoch);
 
-/// @return whether @p key is that of a decision on who holds a group.
+/// @return whether @p key is the key of a decision about a group's replicas.
 bool is_decision(std::string_view key);
 
 wire::GroupDescriptionT to_wire(const ReplicaGroup& group);
 ReplicaGroup from_wire(const wire::GroupDescriptionT& description);
 
-/// @return "node/disk", as logs show it.
+/// @return "node/disk" as used in logs.
 std::string text_of(const ReplicaIdentity& identity);
-/// @return the same of each, with commas between.
+/// @return the same for each of @p identities, separated by commas.
 std::string text_of(const std::vector<ReplicaIdentity>& identities);
 
-/// Finds where a node hears its peers, from the current membership.
+/// Finds a node's peer address in the current membership table.
 using AddressLookup = std::function<std::optional<PeerAddress>(const NodeId&)>;
 
 }  // namespace madderdeck::ledger
--- a/src/ledger/rocksdb_disk.hpp
+++ b/src/ledger/rocksdb_disk.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The identity of a disk folder, which lasts exactly as long as its records.
+/// @file The identity of a disk folder, which is valid exactly as long as its records are.
 
 #include <cstdint>
 #include <memory>
@@ -11,31 +11,33 @@
 
 /// Why a disk folder was given a new identity.
 enum class NewIdentityReason {
-  none,                      ///< It has the one that it had before.
-  empty_folder,              ///< Neither an identity nor records were here.
-  records_gone,              ///< An identity was here, no records of it.
-  records_of_another_disk,   ///< The identity beside the records is not the one within them.
-  records_without_identity,  ///< Of an earlier version, whose identity has gone.
+  none,                      ///< The folder has kept its identity.
+  empty_folder,              ///< The folder held neither an identity nor records.
+  records_gone,              ///< The folder held an identity, but no records of it.
+  records_of_another_disk,   ///< The identity file differs from the identity in the database.
+  records_without_identity,  ///< The records were written by an earlier version and the identity file is missing.
 };
 /// @return the stable name of @p reason, for logs.
 std::string_view new_identity_reason_name(NewIdentityReason reason);
 
-/// A disk folder that is open.
+/// An open disk folder.
 struct OpenedDisk {
   std::unique_ptr<RocksDbStorage> storage;
   std::string identity;
   NewIdentityReason reason = NewIdentityReason::none;
-  std::string former_identity;      ///< Which the folder named before, where it has a new one; may be empty.
-  std::string former_records;       ///< Folder that records of another identity were moved to; empty: there were none.
-  bool identity_file_made = false;  ///< The file beside the records was missing; made from the identity within them.
-  std::uint64_t log_bytes = 0;  ///< Of the database's log, which the opening reads; 0 where that was not to be told.
+  std::string former_identity;  ///< Identity that the folder had before a new one was made; may be empty.
+  std::string former_records;   ///< Folder to which records of another identity were moved; empty: there were none.
+  bool identity_file_made =
+      false;  ///< The identity file was missing and was restored from the identity in the database.
+  std::uint64_t log_bytes =
+      0;  ///< Size of the database's log, which is read when the database is opened; 0 if unknown.
 };
 
-/// Opens the database in @p folder, or makes it. The identity stands in a file and within the database, where it is
-/// synced before any record. Records that do not go with the identity are moved aside and not served.
-/// @param random a new identity is made of it.
-/// @return ErrorKind::corrupted where the identity file is empty or torn, or the database is damaged;
-///         ErrorKind::unavailable where either cannot be read now; ErrorKind::storage_unwritable.
+/// Opens or creates the database in @p folder. The identity is stored in a file and in the database, where it is synced
+/// before any record. Records that do not belong to the identity are moved aside and not served.
+/// @param random random number from which a new identity is made
+/// @return ErrorKind::corrupted if the identity file is empty or truncated, or the database is damaged;
+///         ErrorKind::unavailable if either cannot be read now; ErrorKind::storage_unwritable.
 Result<OpenedDisk> open_disk(const std::string& folder, std::uint64_t random, const Executors& executors);
 
 }  // namespace madderdeck::ledger
--- a/src/ledger/rocksdb_disk_opener.hpp
+++ b/src/ledger/rocksdb_disk_opener.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Opens a disk folder; one that hangs or refuses writes at first, as soon as it does not.
+/// @file Opens a disk folder, and retries while the disk hangs or refuses writes.
 
 #include <cstdint>
 #include <functional>
@@ -11,28 +11,30 @@
 
 namespace madderdeck::ledger {
 
-/// Told on the owner's thread.
+/// Callbacks, run on the owner's thread.
 struct disk_opener_hooks {
-  std::function<void(const Error&)> refused;   ///< An attempt failed; the next one follows.
-  std::function<void(OpenedDisk)> opened;      ///< Once.
-  std::function<void(const Error&)> given_up;  ///< The folder is damaged: no later attempt would help.
+  std::function<void(const Error&)> refused;  ///< An attempt failed; another one follows.
+  std::function<void(OpenedDisk)> opened;     ///< The folder was opened; called once.
+  std::function<void(const Error&)>
+      given_up;  ///< The folder is damaged; there is no further attempt, since it could not succeed.
 };
 
-/// @return whether an attempt to open a folder that ended with @p error is worth another one.
+/// @return whether a retry is useful after an attempt to open a folder failed with @p error.
 bool is_worth_another_attempt(const Error& error);
 
-/// Tries again and again, in the background. Lives as long as its executors run tasks.
+/// Retries in the background until the folder is open. Has to outlive the tasks of its executors.
 class disk_opener {
  public:
-  /// @param random a new identity is made of it.
+  /// @param random random number from which a new identity is made
   disk_opener(std::string folder, std::uint64_t random, Executors executors, disk_opener_hooks hooks);
 
-  /// Begins the first attempt.
+  /// Starts the first attempt.
   void begin();
-  /// Waits for the first attempt, on the owner's thread.
-  /// @return how it ended, of which no hook is told; nothing where it goes on after @p patience: the hooks are told.
+  /// Blocks the owner's thread until the first attempt ends or @p patience has passed.
+  /// @return the result of the first attempt, which is then not reported to the hooks; nothing if the attempt is still
+  ///         running: its result is reported to the hooks.
   std::optional<Result<OpenedDisk>> wait(Duration patience);
-  /// Tries again after a pause, for a first attempt that failed.
+  /// Schedules a retry after the first attempt failed.
   void try_again();
 
  private:
--- a/src/ledger/rocksdb_storage.hpp
+++ b/src/ledger/rocksdb_storage.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Storage on a disk, with RocksDB.
+/// @file Storage on a disk using RocksDB.
 
 #include <functional>
 #include <memory>
@@ -16,49 +16,49 @@
 
 namespace madderdeck::ledger {
 
-/// How the storage leaves and comes back to its owner's thread.
+/// Executors by which the storage runs tasks on a background thread and on its owner's thread.
 struct Executors {
-  std::function<void(std::function<void()>)> background;  ///< Runs a blocking task elsewhere.
+  std::function<void(std::function<void()>)> background;  ///< Runs a blocking task on a background thread.
   std::function<void(std::function<void()>)> owner;       ///< Runs a task on the owner's thread.
-  /// Runs a task on the owner's thread after a while; needed only to try a disk again that refused a write.
+  /// Runs a task on the owner's thread after a delay; needed only to reopen a disk that refused a write.
   std::function<void(Duration, std::function<void()>)> after;
-  disk_observer* observer = nullptr;  ///< Outlives the storage; may be null.
+  disk_observer* observer = nullptr;  ///< Has to outlive the storage; may be null.
 };
 
-/// Told on the owner's thread; each may be empty.
+/// Callbacks, run on the owner's thread; each may be empty.
 struct DiskTroubleHooks {
-  std::function<void(const Error&)> refused;        ///< A write or sync failed: nothing is read or confirmed any more.
-  std::function<void(const Error&)> still_refused;  ///< The database could not be opened again.
-  std::function<void()> regained;  ///< It is open again and holds what is on the disk, all of it synced.
+  std::function<void(const Error&)> refused;  ///< A write or sync failed: from now on nothing is read or confirmed.
+  std::function<void(const Error&)> still_refused;  ///< An attempt to reopen the database failed.
+  std::function<void()> regained;  ///< The database is open again; all that it holds is synced to the disk.
 };
 
-/// After a refused write the database is opened again after this long, then after twice as long, and so on.
+/// After a refused write the database is reopened after this delay, which doubles with each further attempt.
 inline constexpr Duration kReopenAfter = 250ms;
 inline constexpr Duration kMostReopenAfter = 2s;
 
-/// Of the table in memory; a full one is written to the disk.
+/// Size of the table in memory; a full table is written to the disk.
 inline constexpr std::size_t kWriteBufferBytes = 16 << 20;
 
 /// The database's folder within the disk folder.
 inline constexpr char kRecordsFolder[] = "records";
 
 /// Writes go to the log at once and are synced in groups by a background task. After a refused write or sync the
-/// database is closed and opened again until that succeeds: what was put and not confirmed may be there then or not,
-/// and nobody who waited for it is told that it is. Meanwhile reads and flushes fail and writes are dropped; the owner
-/// has to drop what it derived from them.
+/// database is closed and reopened until that succeeds. A write that was not confirmed may or may not be there
+/// afterwards, and its flush has failed. Until then reads and flushes fail and writes are dropped; the owner has to
+/// discard what it derived from dropped writes.
 class RocksDbStorage : public Storage {
  public:
   ~RocksDbStorage() override;
 
   /// Opens or creates the database in @p folder.
-  /// @param env the file system; null for the system's own.
+  /// @param env the file system; null for that of the system.
   /// @return ErrorKind::storage_unwritable or ErrorKind::corrupted on failure.
   static Result<std::unique_ptr<RocksDbStorage>> open(const std::string& folder, Executors executors,
                                                       rocksdb::Env* env = nullptr,
                                                       std::size_t write_buffer_bytes = kWriteBufferBytes);
-  /// @return storage without a database, as after a refused write, until take_over().
+  /// @return a storage without a database, in the state after a refused write, until take_over() is called.
   static std::unique_ptr<RocksDbStorage> make_unopened();
-  /// Goes on with the database of @p opened, which goes. This one has none.
+  /// Takes the database of @p opened, which is destroyed. This storage must not have one.
   void take_over(std::unique_ptr<RocksDbStorage> opened);
   void set_hooks(DiskTroubleHooks hooks);
 
@@ -68,22 +68,22 @@
   void put_together(const std::vector<Entry>& entries) override;
   Status scan(const std::string& prefix, const std::string& after,
               const std::function<bool(std::string_view, std::string_view)>& visit) const override;
-  /// Callers that a sync under way covers already share it.
+  /// A caller whose writes are covered by a sync in progress shares that sync.
   void flush(std::function<void(Status)> done) override;
   bool has_unflushed() const override;
 
-  /// Writes and syncs before it returns; for the start, where nothing else waits.
+  /// Writes and syncs before it returns; meant for startup, where nothing else waits.
   /// @return ErrorKind::storage_unwritable on failure.
   Status put_synced(const std::string& key, const std::string& value);
   /// @return whether there is a key that starts with @p prefix, other than @p besides; ErrorKind::corrupted or
-  ///         ErrorKind::unavailable where that cannot be read.
+  ///         ErrorKind::unavailable if the database cannot be read.
   Result<bool> holds(const std::string& prefix, const std::string& besides = "") const;
 
  private:
   struct Implementation;
   explicit RocksDbStorage(std::shared_ptr<Implementation> implementation);
   void write(rocksdb::WriteBatch& batch);
-  /// Opens the database that @p implementation describes; also on the background thread.
+  /// Opens the database described by @p implementation; may run on the background thread.
   static Status open_database(Implementation& implementation);
   static void start_flush(const std::shared_ptr<Implementation>& implementation);
   static void finish_flush(const std::shared_ptr<Implementation>& implementation, const Status& synced);
--- a/src/ledger/storage.hpp
+++ b/src/ledger/storage.hpp
@@ -12,33 +12,32 @@
 
 namespace madderdeck::ledger {
 
-/// A write is visible to reads at once and lasts only after the next flush; until then a loss of power may leave it or
-/// not, whatever becomes of the writes around it.
-/// Not thread safe; callbacks run on the owner's thread.
+/// A write is visible to reads at once, but durable only after the next flush. A power loss before that may keep or
+/// lose it, independent of the writes around it. Not thread-safe; callbacks run on the owner's thread.
 class Storage {
  public:
   virtual ~Storage() = default;
 
-  /// @return the value; nothing when absent; ErrorKind::corrupted when its bytes are damaged.
+  /// @return the value; nothing when the key is absent; ErrorKind::corrupted when its bytes are damaged.
   virtual Result<std::optional<wire::Bytes>> get(const std::string& key) const = 0;
-  /// Lets @p look see the value in place, without a copy; it is not called where there is none. Fails as get() does.
+  /// Calls @p look with the value in place, without a copy, unless the key is absent. Fails like get().
   virtual Status look_at(const std::string& key, const std::function<void(std::string_view value)>& look) const;
   virtual void put(const std::string& key, const wire::Bytes& value) = 0;
   struct Entry {
     std::string key;
     wire::Bytes value;
   };
-  /// Puts @p entries of which none may last without the others.
+  /// Writes @p entries atomically.
   virtual void put_together(const std::vector<Entry>& entries) = 0;
-  /// Calls @p visit for each key that starts with @p prefix and is greater than @p after, in
-  /// order, until it returns false.
-  /// @return ErrorKind::corrupted or ErrorKind::unavailable where the disk cannot be read on: there may be more keys.
+  /// Calls @p visit for each key that starts with @p prefix and is greater than @p after, in order, until it returns
+  /// false.
+  /// @return ErrorKind::corrupted or ErrorKind::unavailable when reading stops at an error: there may be more keys.
   virtual Status scan(const std::string& prefix, const std::string& after,
                       const std::function<bool(std::string_view key, std::string_view value)>& visit) const = 0;
-  /// Runs @p done once everything put so far survives the loss of the process. Callers that
-  /// arrive while a flush is under way share the next one (group commit).
+  /// Runs @p done once everything written so far survives the loss of the process. Callers that arrive during a flush
+  /// share the next one (group commit).
   virtual void flush(std::function<void(Status)> done) = 0;
-  /// @return whether a loss of power may take anything away that was put.
+  /// @return whether a power loss may lose any write.
   virtual bool has_unflushed() const = 0;
 };
 
