--- a/src/ledger/client.cpp
+++ b/src/ledger/client.cpp
@@ -8,22 +8,24 @@
 namespace madderdeck::ledger {
 namespace {
 constexpr unsigned kMaxBackoffExponent = 6;
-/// Attempts at a change or a scan have 0.4, 0.8 and then 1.6 s: three within the 4 s of an operation.
+/// The timeouts of the attempts at a change or a scan are 0.4, 0.8 and then 1.6 s: three attempts fit into the 4 s of
+/// an operation.
 constexpr unsigned kMostAttemptDoublings = 2;
-/// Word of a group's next epoch; members that miss it learn it with their next refusal.
+/// How long a notice of a group's next epoch may wait to be sent. Members that miss it learn of the epoch with the next
+/// request that they refuse.
 constexpr Duration kNoticeUsefulFor = 4s;
-/// Named records that are read one after the other beside replicas that know no names; the others come with a later
-/// fetch. As many as are settled at once, so that the first ones asked for are among these.
+/// Named records that are read individually when a replica does not support fetches by name; the others are left to a
+/// later fetch. As many as are settled concurrently, so that the first requested ones are among them.
 constexpr std::size_t kMostReadSingly = 8;
 
-/// @return whether @p reply to a question for named records is of a replica that knows no names: it takes the question
-/// for one about a stretch of no length.
+/// @return whether @p reply to a fetch comes from a replica that does not support fetches by name: it handles the
+///         request as a scan with limit 0.
 bool knows_no_names(const wire::ScanReplyT& reply) { return reply.truncated || reply.records.empty(); }
 
 bool some_know_no_names(const std::map<std::uint32_t, wire::ScanReplyT>& replies) {
   return std::any_of(replies.begin(), replies.end(), [](const auto& entry) { return knows_no_names(entry.second); });
 }
-/// Forgets all requests of the scan @p id; those of attempts that are over are kept until it ends.
+/// Removes all requests of the scan @p id. Requests of earlier attempts are kept until the scan ends.
 template <class Requests, class Id>
 void forget_requests(Requests& requests, Id id) {
   std::erase_if(requests, [id](const auto& entry) { return entry.second == id; });
@@ -71,7 +73,7 @@
 void Client::decide_next(std::uint32_t group, const ReplicaGroup& next, const EpochRule& rule,
                          std::function<void(Result<ReplicaGroup>)> done) {
   if (group >= map_.groups.size() || next.epoch != map_.groups[group].epoch + 1) {
-    done(Error{ErrorKind::conflict, "the group has another epoch by now"});
+    done(Error{ErrorKind::conflict, "the epoch of the group has changed"});
     return;
   }
   const wire::Bytes proposal = wire::encode_record(to_wire(next));
@@ -84,18 +86,18 @@
   };
   operation.done = lifetime_.guard([this, group, done](Result<OptionalValue> result) {
     if (!succeeded(result) || !value_of(result)) {
-      done(succeeded(result) ? Error{ErrorKind::unavailable, "nothing decided"} : error_of(result));
+      done(succeeded(result) ? Error{ErrorKind::unavailable, "no description was decided"} : error_of(result));
       return;
     }
     const auto decided = wire::decode_record<wire::GroupDescriptionT>(*value_of(result));
     if (!decided) {
-      done(Error{ErrorKind::corrupted, "description of a group"});
+      done(Error{ErrorKind::corrupted, "damaged description of a group"});
       return;
     }
     const ReplicaGroup before = map_.groups[group];
     learn(group, from_wire(*decided));
     announce_group(group);
-    // Those that are no members any more learn that they are not.
+    // Former members have to learn that they are no longer members.
     wire::AdoptGroupT notice;
     notice.group = group;
     notice.description = std::make_unique<wire::GroupDescriptionT>(*decided);
@@ -107,7 +109,7 @@
 
 void Client::settle_next(std::uint32_t group, std::function<void(Result<ReplicaGroup>)> done) {
   if (group >= map_.groups.size()) {
-    done(Error{ErrorKind::unavailable, "the group is not known"});
+    done(Error{ErrorKind::unavailable, "unknown group"});
     return;
   }
   ReplicaGroup next = map_.groups[group];
@@ -228,7 +230,7 @@
   }
   by_request_.erase(operation.request);
   if (operation.only_epoch && *operation.only_epoch != map_.groups[map_.group_of(operation.key)].epoch) {
-    finish(id, Error{ErrorKind::conflict, "the group has another epoch by now"});
+    finish(id, Error{ErrorKind::conflict, "the epoch of the group has changed"});
     return;
   }
   operation.request = ++next_request_;
@@ -269,7 +271,7 @@
     request.gives_up->node = operation.rule.given_up->node.str();
     request.gives_up->disk = operation.rule.given_up->disk.str();
   }
-  // Answers to an attempt that is over do not count.
+  // Answers that arrive after the attempt do not count.
   broadcast(operation.group, request, attempt_time(operation));
   arm_attempt_timer(id, operation.request);
 }
@@ -289,14 +291,14 @@
   request.ballot = to_wire(operation.ballot);
   request.key = operation.key;
   request.value = *operation.value;
-  // Of use beyond the attempt: a replica that takes the value late holds one more copy.
+  // Sent even after the attempt ends: a replica that accepts the value late holds one more copy.
   broadcast(operation.group, request, options_.operation_timeout);
   arm_attempt_timer(id, operation.request);
 }
 
 Duration Client::attempt_time(const Operation& operation) const {
-  // The answers of an attempt that is over no longer count: on disks that take longer than the first attempt every one
-  // of them would come too late.
+  // Timeouts grow because answers of an expired attempt do not count: with disks slower than the timeout of the first
+  // attempt every answer would arrive too late.
   const unsigned doublings = std::min(operation.attempts - 1, kMostAttemptDoublings);
   Duration time = options_.attempt_timeout * (1U << doublings);
   if (operation.phase == Phase::accepting && operation.value) {
@@ -411,12 +413,12 @@
       message.status == wire::ReplicaStatus::Granted || message.status == wire::ReplicaStatus::BallotTooLow;
   if (operation.phase == Phase::preparing && votes && operation.gives_up(message.replica)) {
     operation.given_up_answer = message.replica;
-    finish(id->second, Error{ErrorKind::conflict, "a member that was to be given up answers"});
+    finish(id->second, Error{ErrorKind::conflict, "the member to be given up has answered"});
     return;
   }
   if (operation.phase == Phase::preparing && message.status == wire::ReplicaStatus::MemberThere) {
     operation.refusals[sender] = message.status;
-    finish(id->second, Error{ErrorKind::conflict, "another member knows the one that was to be given up to be there"});
+    finish(id->second, Error{ErrorKind::conflict, "another member sees that the member to be given up is up"});
     return;
   }
   if (operation.phase != Phase::preparing || !operation.counts(message.replica)) {
@@ -443,7 +445,7 @@
     operation.value = message.value;
   }
   operation.best_count += accepted == operation.best_accepted ? 1 : 0;
-  // Earlier versions grant a decision only where they are admitted, and do not tell whether they are whole.
+  // Members of earlier versions grant a decision only if they are admitted, and do not report whether they are whole.
   const bool says_nothing = message.standing == wire::ReplicaStanding::NotSaid;
   operation.say_nothing += says_nothing ? 1 : 0;
   operation.admitted += says_nothing || message.standing == wire::ReplicaStanding::Admitted ? 1 : 0;
@@ -471,7 +473,8 @@
 void Client::promises_complete(OperationId id, Operation& operation) {
   OptionalValue next = operation.function(operation.value);
   if (!next) {
-    // Unchanged. If a majority holds the value already, it is chosen and may be returned.
+    // The function leaves the record unchanged. If a majority holds the value already, it is chosen and may be
+    // returned.
     const bool chosen = operation.best_count >= operation.needed();
     if (chosen || !operation.value) {
       finish(id, operation.value);
@@ -534,9 +537,9 @@
 
 struct Client::MergedPage {
   ScanPage page;
-  std::vector<std::size_t> positions;  ///< Of records that have to be settled.
+  std::vector<std::size_t> positions;  ///< Positions of the records that have to be settled.
   std::size_t unsettled = 0;
-  bool leave_out_failed = false;  ///< Records that cannot be settled now are left out; otherwise the page fails.
+  bool leave_out_failed = false;  ///< Records that cannot be settled now are left out; otherwise the scan fails.
   std::optional<Error> failure;
 };
 
@@ -588,7 +591,7 @@
   scan.deadline = environment_.now() + std::min(patience, options_.operation_timeout);
   counters_["ledger_scans_total"]++;
   scans_.emplace(id, std::move(scan));
-  // Where it is over before the next attempt would be.
+  // Ends the scan at its deadline, which may come before the next attempt.
   environment_.after(std::min(patience, options_.operation_timeout), lifetime_.guard([this, id] { start_scan(id); }));
   start_scan(id);
 }
@@ -642,8 +645,8 @@
 void Client::begin_attempt(OperationId id, Scan& scan) {
   counters_["ledger_scan_attempts_total"]++;
   ++scan.attempts;
-  // Only now: a node that has just started may not have known the groups when the scan began, and the first one would
-  // truly say that it has no such record.
+  // Determined for each attempt: a node that has just started may not have known the groups when the scan began, and
+  // another group would answer correctly that it has no such record.
   const std::string& key = scan.keys.empty() ? scan.prefix : scan.keys.front();
   scan.group_number = scan.named_group ? *scan.named_group : map_.group_of(key);
   const ReplicaGroup& group = map_.groups[scan.group_number];
@@ -697,7 +700,8 @@
   return has_values && scan.replies.size() >= scan.group.majority();
 }
 
-/// The others have answered. Where the nearest one stays silent, the next is asked for the values.
+/// Called when the other replicas have answered. If the nearest one does not answer in time, the values are requested
+/// from the next one.
 void Client::await_value(OperationId id, Scan& scan) {
   if (scan.replies.size() < scan.group.majority() || scan.value_timer) {
     return;
@@ -720,7 +724,7 @@
 }
 
 void Client::retry_scan(OperationId id) {
-  // Still known by its number: a member whose refusal comes later is not silent.
+  // The request number stays registered, so that a member whose refusal arrives late does not count as silent.
   scans_.at(id).request = 0;
   environment_.after(options_.backoff_unit * 4, lifetime_.guard([this, id] { start_scan(id); }));
 }
@@ -832,10 +836,12 @@
 
 std::shared_ptr<Client::MergedPage> Client::merge_replies(const Scan& scan) {
   const bool fetched = !scan.keys.empty();
-  // A truncated reply says nothing about keys after its last one; of a fetch the values' reply may end early.
+  // A truncated reply has no information about keys after its last one. The reply with the values of a fetch may end
+  // before the others.
   std::string horizon;
   std::size_t reached = scan.keys.size();
-  // Who knows no names says nothing about the records: each is settled by a read unless the others agree on it.
+  // A replica that does not support fetches by name has no information about the records: each record is settled by a
+  // read unless the other replicas agree on it.
   const bool some_know_none = fetched && some_know_no_names(scan.replies);
   if (some_know_none) {
     reached = std::min(reached, kMostReadSingly);
@@ -854,7 +860,7 @@
   struct Candidate {
     Ballot ballot;
     std::size_t count = 0;
-    const wire::Bytes* value = nullptr;  ///< Null where only its ballot is known.
+    const wire::Bytes* value = nullptr;  ///< Null if only the ballot is known.
   };
   std::map<std::string, Candidate> candidates;
   for (std::size_t position = 0; some_know_none && position < reached; ++position) {
@@ -870,7 +876,7 @@
       }
       const Ballot ballot = from_wire(record->accepted);
       if (fetched && ballot.is_zero()) {
-        continue;  // not held there
+        continue;  // This replica does not hold the record.
       }
       const auto [known, first] = candidates.try_emplace(record->key, Candidate{ballot});
       Candidate& candidate = known->second;
@@ -902,7 +908,7 @@
   const std::shared_ptr<MergedPage> merged = merge_replies(scan);
   counters_["ledger_fetches_not_understood_total"] += !scan.keys.empty() && some_know_no_names(scan.replies) ? 1 : 0;
   if (merged->positions.size() > options_.most_settled_at_once && !scan.keys.empty()) {
-    // The others come with a later fetch.
+    // The remaining records are left to a later fetch.
     for (std::size_t number = options_.most_settled_at_once; number < merged->positions.size(); ++number) {
       merged->page.records[merged->positions[number]].key.clear();
     }
@@ -911,7 +917,7 @@
   settle(merged, std::move(scan.done));
 }
 
-/// A value that only some replicas hold may not be chosen: a read settles it.
+/// Settles the records whose value may not be chosen because only some replicas hold it, with a read each.
 void Client::settle(const std::shared_ptr<MergedPage>& merged, ScanDone scan_done) {
   const auto finish = [merged](const ScanDone& done) {
     if (merged->failure) {
--- a/src/ledger/epoch_change.cpp
+++ b/src/ledger/epoch_change.cpp
@@ -9,14 +9,14 @@
 namespace madderdeck::ledger {
 namespace {
 
-constexpr std::size_t kPair = 2;          ///< Members of the smallest group that has no majority without all.
-constexpr int kDeclinedRank = 1'000'000;  ///< More than a zone can hold members.
+constexpr std::size_t kPair = 2;          ///< Size of the smallest group, in which a majority needs all members.
+constexpr int kDeclinedRank = 1'000'000;  ///< Exceeds the number of members in any zone.
 
 bool contains(const std::vector<ReplicaIdentity>& list, const ReplicaIdentity& identity) {
   return std::find(list.begin(), list.end(), identity) != list.end();
 }
 
-/// @return the disk that takes the place of @p lost in @p group, if there is one.
+/// @return the disk to replace @p lost in @p group, if there is one.
 std::optional<ReplicaIdentity> substitute(const ReplicaGroup& group, const ReplicaIdentity& lost,
                                           const std::vector<disk_place>& places, const change_guards& guards) {
   std::map<std::string, int> members_in_zone;
@@ -50,15 +50,15 @@
   return best;
 }
 
-/// @return the disks that may take the place of @p stopping, whose process was told to stop.
+/// @return the disks that may replace @p stopping, whose process is shutting down.
 std::vector<disk_place> spares_for(const ReplicaIdentity& stopping, const fleet_view& view) {
   std::vector<disk_place> spares = view.places();
   std::erase_if(spares, [&](const disk_place& place) { return !view.is_spare_for(place.identity, stopping); });
   return spares;
 }
 
-/// @return how @p replica stands. A process that was told to stop may only start again: without a spare disk that would
-///         take its place it is as present as before.
+/// @return the state of @p replica. A process that is shutting down may only be restarting: without a spare disk that
+///         would replace its disk, the replica remains present.
 replica_state standing_of(const ReplicaGroup& group, const ReplicaIdentity& replica, fleet_view& view,
                           const change_guards& guards) {
   const replica_state state = view.state_of(replica);
@@ -66,7 +66,7 @@
   return stays ? replica_state::present : state;
 }
 
-/// @return a former member that was given up as it was silent and is there again.
+/// @return a former member that was given up as silent and is up again.
 std::optional<ReplicaIdentity> returned_member(const ReplicaGroup& group, const fleet_view& view) {
   for (const disk_place& place : view.places()) {
     if (contains(group.leaving, place.identity) && !view.is_retiring(place.identity.node)) {
@@ -76,8 +76,8 @@
   return std::nullopt;
 }
 
-/// @return a former member that is to be emptied and is there still, for a pair of which one is gone. Without it the
-///         other one would confirm alone what stands nowhere else.
+/// @return a former member that is being drained and still up, for a pair of which one member is gone. Without it the
+///         other member alone would confirm records that no other disk holds.
 std::optional<ReplicaIdentity> leaver_beside_survivor(const ReplicaGroup& group, const fleet_view& view) {
   if (group.replicas.size() != kPair) {
     return std::nullopt;
@@ -88,7 +88,7 @@
   return leaver == group.leaving.end() ? std::nullopt : std::optional(*leaver);
 }
 
-/// @return the other member of a pair, if it is there; nothing for any other group.
+/// @return the other member of a pair, if it is up; nothing for groups of other sizes.
 std::optional<ReplicaIdentity> survivor_of(const ReplicaGroup& group, std::size_t lost, const fleet_view& view) {
   if (group.replicas.size() != kPair) {
     return std::nullopt;
@@ -97,8 +97,8 @@
   return view.is_there(other) ? std::optional(other) : std::nullopt;
 }
 
-/// Takes the member with number @p index, whose disk or node is gone, out of @p change.
-/// @return whether there is a way.
+/// Removes the member with number @p index, whose disk or node is gone, from the group described by @p change.
+/// @return whether this is possible.
 bool replace_gone(epoch_change& change, const ReplicaGroup& group, std::size_t index, replica_state state,
                   const fleet_view& view, const change_guards& guards) {
   const ReplicaIdentity& replica = group.replicas[index];
@@ -111,7 +111,7 @@
   if (!other && survivor) {
     other = leaver_beside_survivor(group, view);
   }
-  // It had been about to leave and has nothing to hand on any more. Its place would stay empty for good.
+  // The member was being drained and its records are lost. Without this its place would stay empty forever.
   const bool lost_as_it_left = lost && view.is_retiring(replica.node) && group.replicas.size() > 1;
   const auto position = change.next.replicas.begin() + static_cast<std::ptrdiff_t>(index);
   if (other) {
@@ -128,7 +128,7 @@
     return true;
   }
   if (other) {
-    // It may only be silent, and what it holds may stand with it and the next one that is lost.
+    // The member may only be unreachable, and its records may be held only by it and the member that is lost next.
     change.next.leaving.push_back(replica);
   }
   if (survivor) {
@@ -138,9 +138,9 @@
   return true;
 }
 
-/// Lets the member with number @p index go, which is to be emptied or whose process was told to stop.
-/// @param present members that are neither gone nor about to go
-/// @return whether there is a way that leaves the group a majority of those that vote already.
+/// Removes the member with number @p index, whose node is being drained or whose process is shutting down.
+/// @param present number of members that are neither gone nor about to leave
+/// @return whether this leaves the group a majority of members that already vote.
 bool let_go(epoch_change& change, const ReplicaGroup& group, std::size_t index, replica_state state,
             std::size_t present, std::size_t replicas, const fleet_view& view, const change_guards& guards) {
   const ReplicaIdentity& replica = group.replicas[index];
@@ -157,13 +157,12 @@
     change.next.replicas.erase(position);
   }
   change.next.leaving.push_back(replica);
-  // It votes until others hold everything: who takes a place may still be copying.
+  // The member votes until others hold everything: a replacement may still be copying.
   change.rule.whole_majority = true;
   change.rule.let_go = replica;
   return true;
 }
 
-/// @return "node/disk state".
 std::string reason_of(const ReplicaIdentity& replica, replica_state state) {
   return text_of(replica) + " " + name_of(state);
 }
@@ -198,8 +197,8 @@
   for (const ReplicaIdentity& replica : group.replicas) {
     states.push_back(standing_of(group, replica, view, guards));
   }
-  // A lost disk first: no more members have to agree on its end than on that of a silent one, which none may be left
-  // to.
+  // Lost disks come first: removing one needs at most as many members to agree as removing a silent one, for which too
+  // few members may be left.
   for (const replica_state gone : {replica_state::disk_replaced, replica_state::missing}) {
     for (std::size_t index = 0; index < states.size(); ++index) {
       if (states[index] == gone && replace_gone(change, group, index, gone, view, guards)) {
@@ -208,7 +207,7 @@
       }
     }
   }
-  // Only now: a member that is to leave still votes, and who takes its place copies from all others first.
+  // Leaving members come after lost ones: they still vote, and a replacement copies from all other members first.
   const auto present = static_cast<std::size_t>(std::count(states.begin(), states.end(), replica_state::present));
   for (std::size_t index = 0; index < states.size(); ++index) {
     const bool goes = states[index] == replica_state::retiring || states[index] == replica_state::stopping;
@@ -219,7 +218,7 @@
   }
   if (group.replicas.size() < replicas) {
     auto other = substitute(group, ReplicaIdentity{}, view.places(), guards);
-    // A member that is to be emptied cannot be let go before somebody else has joined.
+    // A member that is being drained cannot be removed before another disk has joined.
     const bool keeps_retiring = std::find(states.begin(), states.end(), replica_state::retiring) != states.end();
     if (!other && keeps_retiring) {
       other = returned_member(group, view);
@@ -231,7 +230,7 @@
       return change;
     }
   }
-  // A member that leaves is copied from until it is gone.
+  // A leaving member is copied from until it is gone.
   const auto given_up =
       std::erase_if(change.next.leaving, [&view](const ReplicaIdentity& leaver) { return view.has_gone(leaver); });
   change.rule.whole_majority = given_up > 0;
--- a/src/ledger/gone_disks.cpp
+++ b/src/ledger/gone_disks.cpp
@@ -69,7 +69,7 @@
   }
   const bool away = is_away(identity.node);
   const std::optional<bool> emptied = known_.is_emptied ? known_.is_emptied(identity.node) : std::nullopt;
-  // A new machine of that name is there without being emptied.
+  // A new machine with the same name is up and is not being drained.
   if (emptied.value_or(false) && (away || node->retiring)) {
     return gone_disk{identity, gone_reason::emptied, "its node was emptied"};
   }
--- a/src/ledger/group_health.cpp
+++ b/src/ledger/group_health.cpp
@@ -6,35 +6,36 @@
 namespace {
 
 constexpr Duration kCheck = 500ms;
-/// A member that only seems dead has refuted it by then, in calm.
+/// Under normal conditions a live member that was suspected has refuted it by then.
 constexpr Duration kLostAfter = 2s;
 constexpr Duration kRegainedAfter = 500ms;
-/// From one line about a lost majority of a group to the next: two lines for each group in that time.
+/// Minimum interval between loss reports of one group: at most two lines per group in that time.
 constexpr Duration kLeastBetweenLosses = 10s;
-/// A node that starts has not heard of all members yet.
+/// Grace period after startup, while the node has not heard of all members yet.
 constexpr Duration kStarting = 3s;
-/// Of a refusal: by then the member has been asked, or the next request has met it.
+/// How long a refusal is taken into account; by then the member has been asked or has answered the next request.
 constexpr Duration kRefusalHolds = 5s;
-/// From one question to the next, to whomever: a question and its answer are some 70 bytes each.
+/// Interval between any two questions; a question and its answer are about 70 bytes each.
 constexpr Duration kBetweenQuestions = 1s;
-/// From one question to the next about the same; it doubles after some. A member that is admitted says so unasked, too.
+/// Interval between questions to one member about one group; it doubles after kAsksBeforeDoubling questions. An
+/// admitted member also reports it unasked.
 constexpr Duration kFirstAskPause = 1s;
 constexpr unsigned kAsksBeforeDoubling = 4;
 constexpr unsigned kMostAskDoublings = 4;
-/// While a group has no majority, so that its return is told soon.
+/// Limit while a group has no majority, so that its recovery is noticed soon.
 constexpr unsigned kMostAskDoublingsWhenLost = 2;
 constexpr std::uint64_t kFoundingEpoch = 1;
-/// Questions go over connections: one that is not answered met no one, or a node that does not know the epoch and is of
-/// a version that does not say so.
+/// Questions are sent over connections. One that is not answered reached no node, or a node that does not know the
+/// epoch and runs a version that does not report this.
 constexpr unsigned kUnansweredMeansSilent = 3;
-/// Without a single answer, of requests that are still being sent.
+/// A node is silent if it answers none of the requests that were sent to it for this time.
 constexpr Duration kSilentAfter = 3s;
 constexpr unsigned kSilentRequests = 5;
-/// A copy of 30 MB of records at half a core takes less.
+/// Longer than copying 30 MB of records takes with half a core.
 constexpr Duration kLongWait = 5s;
 constexpr Duration kMostWaitPause = 80s;
 
-/// @return what a member says about itself at @p epoch; nothing when that cannot be told.
+/// @return the state that a member reports for @p epoch; nothing if the report does not determine it.
 std::optional<member_state> said_by(const wire::CopyStatusT& message, std::uint64_t epoch) {
   if (message.epoch < epoch) {
     return member_state::unknown_epoch;
@@ -47,8 +48,8 @@
       return member_state::not_admitted;
     }
   }
-  // It knows a later epoch than this node, or is of a version that tells only whether it has copied all: it may vote
-  // before that.
+  // The member knows a later epoch than this node, or its version reports only whether it has copied everything, while
+  // it may vote before that.
   return std::nullopt;
 }
 
@@ -187,7 +188,7 @@
     for (const ReplicaIdentity& identity : present.replicas) {
       const auto known = state.words.find(identity);
       const bool admitted = known != state.words.end() && known->second.said == member_state::counts;
-      // A group is founded on disks that lack nothing.
+      // The disks of a group in its founding epoch lack no records.
       if (admitted) {
         words[identity] = known->second;
       } else if (present.epoch == kFoundingEpoch) {
@@ -338,7 +339,7 @@
     const auto entry = groups_[group].words.find(identity);
     heard = entry == groups_[group].words.end() ? nullptr : &entry->second;
   }
-  if (heard == nullptr) {  // this node has just learnt of the epoch
+  if (heard == nullptr) {  // This node has just learnt of the epoch.
     const bool founding = description(group).epoch == kFoundingEpoch;
     return founding ? finding{member_state::counts, evidence::founding} : finding{};
   }
@@ -395,12 +396,12 @@
   return heard_at;
 }
 
-// --- what is heard --------------------------------------------------------------------------
+// --- incoming answers ------------------------------------------------------------------------
 
 void group_health::on_asked(const NodeId& node) {
   silence& entry = silent_[node];
   const Timestamp now = environment_.now();
-  // Without requests in between nothing is known of the time.
+  // Time without requests does not count as silence.
   if (entry.requests == 0 || now - entry.last > kSilentAfter) {
     entry = silence{now, now, 0, entry.heard_at};
   }
@@ -442,7 +443,7 @@
 }
 
 group_health::word* group_health::word_at(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch) {
-  // The epoch may have been learnt since the last look.
+  // The epoch may have been learnt since the last check.
   if (group >= groups_.size() || groups_[group].epoch != epoch) {
     take_epochs();
   }
@@ -480,7 +481,7 @@
     case wire::ReplicaStatus::BallotTooLow:
     case wire::ReplicaStatus::Corrupted:
     case wire::ReplicaStatus::MemberThere:
-      on_granted(sender, group, epoch);  // it votes, though not for this
+      on_granted(sender, group, epoch);  // The member votes, but not for this proposal.
       return;
     case wire::ReplicaStatus::StaleEpoch:
       return;
--- a/src/ledger/place_consents.cpp
+++ b/src/ledger/place_consents.cpp
@@ -16,7 +16,7 @@
   return text;
 }
 
-/// @return the number of the group whose consent is kept under @p key.
+/// @return the number of the group whose consent is stored under @p key.
 std::optional<std::uint32_t> group_of(std::string_view key) {
   key.remove_prefix(sizeof kConsentPrefix - 1);
   std::uint32_t group = 0;
@@ -25,7 +25,7 @@
   return whole ? std::optional(group) : std::nullopt;
 }
 
-/// Least byte first.
+/// Little-endian.
 wire::Bytes encode(std::uint64_t number) {
   wire::Bytes bytes(sizeof number);
   for (std::size_t byte = 0; byte < bytes.size(); ++byte) {
@@ -87,7 +87,7 @@
     return error_of(read);
   }
   if (!sound) {
-    return Error{ErrorKind::corrupted, "consent to a place in a replica group"};
+    return Error{ErrorKind::corrupted, "damaged consent to a place in a replica group"};
   }
   const auto emptied = storage_.get(kEmptiedKey);
   if (!succeeded(emptied)) {
--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -10,22 +10,23 @@
 
 constexpr std::uint32_t kCopyPageRecords = 256;
 constexpr std::size_t kPageBytes = 1 << 20;
-/// Read from the disk for one page, also where only ballots are sent: a node answers nothing else meanwhile.
+/// Limit for the bytes read from the disk for one page, also if only ballots are sent: the node answers nothing else
+/// meanwhile.
 constexpr std::size_t kPageReadBytes = 4 << 20;
-/// Of values in one answer to a replica that copies: a reader's answer waits behind it.
+/// Limit for the values in one answer to a replica that copies: answers to readers wait behind it.
 constexpr std::size_t kCopyPageBytes = 512 << 10;
-/// For how long the answer to a scan is worth sending where its reader does not say.
+/// How long the answer to a scan is worth sending if the reader does not specify it.
 constexpr Duration kScanPatience = 4s;
 constexpr Duration kCopyRetry = 200ms;
-constexpr Duration kReadAgain = 1s;  ///< After states of groups could not be read.
-/// A page that has not come is asked for again after this long, then after twice as long, and so on.
+constexpr Duration kReadAgain = 1s;  ///< Delay before group states that could not be read are read again.
+/// A page that has not arrived is requested again after this time, which doubles with each further request.
 constexpr Duration kCopyPatience = 400ms;
-constexpr Duration kValuesPatience = 1s;  ///< The same where values were asked for.
+constexpr Duration kValuesPatience = 1s;  ///< The same for requests for values.
 constexpr Duration kMostCopyPatience = 3200ms;
-constexpr Duration kLeftValuesPatience = 2s;  ///< So long a source may leave values unsent that others offer, too.
-/// Pages of all groups together that are under way to a replica that copies: 8 MB at most.
+constexpr Duration kLeftValuesPatience = 2s;  ///< How long a source may leave values unsent that others offer as well.
+/// Limit for outstanding pages over all groups of a replica that copies: 8 MB at most.
 constexpr std::size_t kMostCopiesAtOnce = 16;
-constexpr char kFirstCursor[] = "p:";  ///< Where a copy begins: with the first promise.
+constexpr char kFirstCursor[] = "p:";  ///< Cursor at which a copy begins: the first promise.
 
 std::string group_prefix(char area, std::uint32_t group) {
   char text[16];
@@ -37,24 +38,24 @@
 std::string state_key(std::uint32_t group) { return group_prefix('g', group); }
 std::string marks_key(std::uint32_t group) { return group_prefix('m', group); }
 
-/// Marks on a disk: one byte of these, then the epoch that they were made in, least byte first.
+/// Marks as stored: one byte of these flags, then the epoch in which they were written, little-endian.
 constexpr std::uint8_t kReturning = 1;
 constexpr std::uint8_t kHoldsLeaving = 2;
 constexpr std::uint8_t kWhole = 4;
 constexpr std::uint8_t kWholeBefore = 8;
 constexpr std::uint8_t kWholeLast = 16;
-constexpr unsigned kFirstFreshLeaverBit = 5;  ///< From here on a bit for each of the first leaving members.
+constexpr unsigned kFirstFreshLeaverBit = 5;  ///< First of the bits for the first leaving members.
 constexpr unsigned kMostFreshLeavers = 3;
 constexpr std::uint8_t kFreshLeavers = 0xE0;
 constexpr std::size_t kMarksBytes = 1 + sizeof(std::uint64_t);
 constexpr unsigned kByteBits = 8;
 
-/// @return the bit of the leaving member at @p position; zero where there is none for it.
+/// @return the bit of the leaving member at @p position; zero if it has none.
 std::uint8_t fresh_leaver_bit(std::size_t position) {
   return position < kMostFreshLeavers ? static_cast<std::uint8_t>(1U << (kFirstFreshLeaverBit + position)) : 0;
 }
 
-/// @return the bits of those leaving members of @p now that were members of @p before.
+/// @return the bits of the leaving members of @p now that were members of @p before.
 std::uint8_t fresh_leavers_of(const ReplicaGroup& now, const ReplicaGroup& before) {
   std::uint8_t bits = 0;
   for (std::size_t position = 0; position < now.leaving.size(); ++position) {
@@ -77,14 +78,14 @@
   return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
 }
 
-/// An accepted value where it is stored.
+/// A view of a stored accepted value.
 struct accepted_view {
   Ballot ballot;
   std::string_view value;
 };
 
-/// Checks an accepted value in place: values may have megabytes, and most readers want its ballot.
-/// @return nothing where the bytes are damaged.
+/// Checks an accepted value in place: values may be megabytes large, and most callers need only the ballot.
+/// @return nothing if the bytes are damaged.
 std::optional<accepted_view> view_accept(std::string_view bytes) {
   const auto* data = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(data, bytes.size());
@@ -187,7 +188,7 @@
 
 void Replica::read_again() {
   if (suspended_) {
-    return;  // resume() reads everything
+    return;  // resume() reads everything again.
   }
   const std::map<std::uint32_t, ReplicaGroup> heard = std::exchange(unreadable_, {});
   if (groups_unread_) {
@@ -250,7 +251,7 @@
     return;
   }
   const bool later = description.epoch > progress.epoch;
-  const bool undescribed = progress.description.replicas.empty();  // kept by an earlier version
+  const bool undescribed = progress.description.replicas.empty();  // Stored by an earlier version.
   const ReplicaGroup before = progress.description;
   const GroupProgress progress_before = progress;
   if (later || (undescribed && description.epoch == progress.epoch)) {
@@ -272,7 +273,7 @@
   if (later) {
     enter_epoch(group, progress, before, was_former);
   }
-  // What a member held that has gone may stand with one of the others alone.
+  // The records of a member that is gone may be held by only one of the others.
   const bool fewer = progress.description.replicas.size() < before.replicas.size() ||
                      !all_in(before.leaving, progress.description.leaving);
   const bool lacks_something =
@@ -299,24 +300,24 @@
 
 void Replica::enter_epoch(std::uint32_t group, GroupProgress& progress, const ReplicaGroup& before, bool was_former) {
   const ReplicaGroup& now = progress.description;
-  // Its sources are numbered by the description before: one that was leaving may be gone.
+  // The sources are numbered by the previous description: a leaving member may be gone now.
   progress.copying.clear();
-  // A founding member starts with an empty, complete copy. Whoever joins later has to copy.
+  // A founding member starts with an empty, complete copy. A disk that joins later has to copy.
   constexpr std::uint64_t kFoundingEpoch = 1;
   const bool founding = progress.epoch == 0 && now.epoch == kFoundingEpoch;
-  // In an epoch that this disk has not seen it may have been no member.
+  // In an epoch that this disk has missed it may not have been a member.
   const bool followed = now.epoch == progress.epoch + 1;
   progress.holds_leaving =
       now.leaving.empty() || (progress.holds_leaving && followed && all_in(now.leaving, before.leaving));
-  // What was confirmed by a member that is lost and one that leaves may stand with that one alone, where half of the
-  // members could decide.
+  // If half of the members could decide, a record that was confirmed by a lost member and a leaving one may be held by
+  // the leaving one alone.
   const bool half_could_decide = before.replicas.size() % 2 == 0;
   const bool lacks_confirmed =
       half_could_decide && !progress.holds_leaving && !progress.whole && !all_in(before.replicas, now.all());
   const bool copies_again = progress.returning || !followed || lacks_confirmed || was_former;
   const bool kept_all = followed && !progress.returning && !lacks_confirmed;
   const bool was_whole = progress.whole || progress.whole_before;
-  // Where all make a majority, nothing was confirmed without this one.
+  // If a majority needs all members, nothing was confirmed without this one.
   const bool took_part_in_all = before.majority() == before.replicas.size();
   progress.whole = founding || (progress.whole && kept_all && took_part_in_all);
   progress.whole_last = was_whole && kept_all;
@@ -436,7 +437,7 @@
 
 wire::ReplicaStatus Replica::admit_to(const wire::PrepareT& message) const {
   const wire::ReplicaStatus status = admit(message.group, message.epoch);
-  // A proposer of an earlier version takes whoever grants it for a member that votes on records.
+  // A proposer of an earlier version assumes that a member that grants also votes on records.
   const bool decides = status == wire::ReplicaStatus::NotReady && message.reads_standing &&
                        is_decision_of_member(message.group, message.epoch, message.key);
   const wire::ReplicaStatus admitted = decides ? wire::ReplicaStatus::Granted : status;
@@ -466,7 +467,7 @@
   if (!succeeded(found)) {
     return error_of(found);
   }
-  return sound ? Result<Ballot>(promised) : Error{ErrorKind::corrupted, "promise of " + key};
+  return sound ? Result<Ballot>(promised) : Error{ErrorKind::corrupted, "damaged promise of " + key};
 }
 
 Result<Replica::StoredRecord> Replica::load(std::uint32_t group, const std::string& key, bool with_value) const {
@@ -490,7 +491,7 @@
     return error_of(accept);
   }
   if (!value_sound) {
-    return Error{ErrorKind::corrupted, "value of " + key};
+    return Error{ErrorKind::corrupted, "damaged value of " + key};
   }
   return record;
 }
@@ -515,7 +516,7 @@
   state.epoch = progress.epoch;
   state.complete = progress.synchronized;
   state.description = std::make_unique<wire::GroupDescriptionT>(to_wire(progress.description));
-  // An epoch on the disk without its marks would let this replica vote too early.
+  // If the epoch were stored without its marks, this replica would vote too early after a restart.
   storage_.put_together({{marks_key(group), encode_marks(progress)}, {state_key(group), wire::encode_record(state)}});
   storage_.flush([](const Status&) {});
 }
@@ -543,7 +544,7 @@
     return error_of(stored);
   }
   if (!value_of(stored) || value_of(stored)->size() != kMarksBytes) {
-    return Ok{};  // of an earlier version
+    return Ok{};  // Written by an earlier version.
   }
   const wire::Bytes& marks = *value_of(stored);
   std::uint64_t epoch = 0;
@@ -572,7 +573,7 @@
   }
   const auto state = wire::decode_record<wire::GroupStateT>(*value_of(stored));
   if (!state) {
-    return Error{ErrorKind::corrupted, "state of group " + std::to_string(group)};
+    return Error{ErrorKind::corrupted, "damaged state of group " + std::to_string(group)};
   }
   progress.epoch = state->epoch;
   progress.synchronized = state->complete;
@@ -726,7 +727,7 @@
   std::size_t bytes = 0;
   std::size_t read_bytes = 0;
   for (const std::string& key : query.keys) {
-    // As many as the one that sends their values reaches at most; the answers are compared up to the shortest.
+    // The same limit as for the replica that sends the values, since answers are compared up to the shortest one.
     if (read_bytes >= kPageReadBytes) {
       break;
     }
@@ -776,10 +777,10 @@
     refuse(sender, std::move(reply));
     return;
   }
-  // A reader that has left needs no answer; others wait behind its values.
+  // A reader that has given up needs no answer, and other messages wait behind its values.
   const Duration useful_for = message.patience_ms == 0 ? kScanPatience : std::chrono::milliseconds(message.patience_ms);
   const Timestamp useful_until = environment_.now() + useful_for;
-  // A reader takes what a majority tells for chosen.
+  // A reader treats what a majority reports as chosen, so it has to be durable.
   when_durable([this, sender, useful_until, reply = std::move(reply)]() mutable {
     const Timestamp now = environment_.now();
     if (now < useful_until) {
@@ -790,9 +791,9 @@
 
 // --- copying to a new or returning replica -------------------------------------------------
 // The cursor of a copy runs first over the promises ("p:" + key), then over the accepted
-// values ("a:" + key); both are merged by taking the greater ballot. Pages hold ballots only:
-// values are asked for where the source has a later one, so that a replica that comes back with
-// its disk, or has copied from another source already, is sent no value twice.
+// values ("a:" + key); both are merged by taking the greater ballot. Pages contain only ballots.
+// Values are requested only if the source has a later one, so that no value is sent twice to a
+// replica that returns with its disk or has already copied from another source.
 
 void Replica::start_copy(std::uint32_t group) {
   GroupProgress& progress = progress_.at(group);
@@ -823,7 +824,7 @@
   }
   const source_activity& came = heard->second;
   const bool overtaken = (source.wanted.empty() ? came.ballots_asked_at : came.values_asked_at) > source.asked_at;
-  // Pages of other groups show that it is at work: this one waits behind them, and so would another.
+  // Pages of other groups show that the source is working: this request waits behind them, and so would another one.
   return !overtaken && now - came.page_came_at < source.patience && waited < kMostCopyPatience;
 }
 
@@ -835,7 +836,7 @@
 
 void Replica::request_copies() {
   std::size_t under_way = 0;
-  std::vector<std::pair<std::uint32_t, std::uint32_t>> due;  // group and number of the source
+  std::vector<std::pair<std::uint32_t, std::uint32_t>> due;  // Group number and source number.
   for (const auto& [group, progress] : progress_) {
     for (const auto& [number, source] : progress.copying) {
       const auto address = addresses_(progress.description.source(number).node);
@@ -877,7 +878,8 @@
   for (const auto& [key, ballot] : source.wanted) {
     request.keys.push_back(key);
   }
-  // A source that does not know this epoch yet learns it here, and fences the one before.
+  // A source that does not know this epoch yet learns it from this description and then rejects requests of earlier
+  // epochs.
   request.description = std::make_unique<wire::GroupDescriptionT>(to_wire(progress.description));
   send_message(environment_, from, std::move(request));
 }
@@ -949,8 +951,8 @@
   if (progress.holds_leaving || !is_member || source == progress.copying.end() || source->second.holds_leaving) {
     return;
   }
-  // What it took from the leaving ones came after its pages, maybe. The copy under way goes on first: what it brings is
-  // not sent twice.
+  // The source may have received records of the leaving members after sending its pages. The copy in progress is
+  // completed first: what it brings is not sent twice.
   if (!source->second.complete) {
     source->second.copy_again = true;
     return;
@@ -965,7 +967,7 @@
   if (progress.whole || source == progress.copying.end() || source->second.whole || !source->second.complete) {
     return;
   }
-  // What it took to become whole came after its pages, maybe.
+  // The source may have received the records that made it whole after sending its pages.
   const bool holds_leaving = source->second.holds_leaving;
   source->second = CopySource{kFirstCursor, false};
   source->second.holds_leaving = holds_leaving;
@@ -994,14 +996,14 @@
       const std::string after = message.after.size() > 2 ? message.after.substr(2) : "";
       auto records = page({message.group, "", after, message.limit, promises, false}, reply.truncated);
       if (!succeeded(records)) {
-        return;  // asked for again; a part would count as everything
+        return;  // The page will be requested again; a partial one would be taken as complete.
       }
       reply.records = std::move(value_of(records));
     } else {
       reply.records = records_of({message.group, message.keys, kCopyPageBytes, true});
     }
   }
-  // What is copied must not be less durable here than it will be there.
+  // The records have to be durable here before they can become durable at the copying replica.
   reply_when_durable(sender, std::move(reply));
 }
 
@@ -1042,8 +1044,8 @@
     return;
   }
   if (message.status == wire::ReplicaStatus::NotReady) {
-    // Its disk is new, too, and has confirmed nothing yet: what is needed stands with the others. Waiting for each
-    // other would not end.
+    // The disk of the source is new as well and has confirmed nothing yet, so the required records are held by the
+    // others. Two new disks waiting for each other would never finish.
     source_entry->second.complete = true;
     source_entry->second.wanted.clear();
     counters_["ledger_copy_sources_new_total"]++;
@@ -1066,12 +1068,13 @@
     take_ballots(message.group, source, message);
   } else if (const values_taken taken = take_values(message.group, source, message);
              taken == values_taken::lost_there) {
-    // Damaged there since. Others may have left it to this source, so all are asked again.
+    // The value has been damaged at the source since it was offered. It may not have been requested from others because
+    // of this source, so the copy restarts from all sources.
     counters_["ledger_copies_restarted_total"]++;
     start_copy(message.group);
     return;
   } else if (taken == values_taken::known) {
-    return;  // the second answer to a page that was asked for twice: the question after it is under way
+    return;  // Second answer to a page that was requested twice: the next request has been sent already.
   }
   source.values_since = environment_.now();
   if (source.wanted.empty()) {
@@ -1103,10 +1106,10 @@
   const bool promises = area == "p:";
   for (const auto& record : page.records) {
     if (is_decision(record->key)) {
-      continue;  // each member votes on it by its own record
+      continue;  // Each member votes on a decision by its own record, so decisions are not copied.
     }
     if (promises) {
-      // Their values are not looked at: a page of promises is as small as the values beside them are large.
+      // The values are not read: a page of promises is small however large the values of these records are.
       merge_promise(group, *record);
       continue;
     }
@@ -1210,7 +1213,7 @@
 bool Replica::newly_holds_leaving(const GroupProgress& progress) {
   const bool told = std::any_of(progress.copying.begin(), progress.copying.end(),
                                 [](const auto& entry) { return entry.second.complete && entry.second.holds_leaving; });
-  // Values that a leaving member offers may be left to a member that holds them, too.
+  // Values that a leaving member offers may be awaited from a member that holds them as well.
   const bool copied = copied_from(progress, false) && copied_from(progress, true);
   return !progress.holds_leaving && (told || copied);
 }
@@ -1230,7 +1233,7 @@
   if (progress.awaits_flush) {
     return;
   }
-  // Marks may not last longer than the records that they speak of.
+  // Marks must not become durable before the records that they describe.
   progress.awaits_flush = true;
   storage_.flush(lifetime_.guard([this, group, parts, epoch = progress.epoch](const Status& status) {
     const auto entry = progress_.find(group);
@@ -1243,7 +1246,7 @@
       return;
     }
     mark_copied(group, parts);
-    finish_copy_if_complete(group);  // more may have come meanwhile
+    finish_copy_if_complete(group);  // More may have arrived in the meantime.
   }));
 }
 
@@ -1255,7 +1258,7 @@
 
 void Replica::mark_copied(std::uint32_t group, copied_parts parts) {
   GroupProgress& progress = progress_.at(group);
-  // A copy that has begun anew since has forgotten what it had.
+  // The copy may have restarted since and lost its progress.
   const bool held = parts.leaving && newly_holds_leaving(progress);
   const bool whole = parts.whole && newly_whole(progress);
   const bool admitted = whole && !votes(progress);
@@ -1296,7 +1299,7 @@
   }
 }
 
-// --- what operators are told ----------------------------------------------------------------
+// --- notifications for operators -------------------------------------------------------------
 
 replica_role Replica::role_of(const GroupProgress& progress) {
   if (progress.former) {
--- a/src/ledger/replica_journal.cpp
+++ b/src/ledger/replica_journal.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr Duration kLook = 1s;
-/// From one line about a copy to the next; it doubles while nothing comes.
+/// Interval between log lines about a copy; it doubles while nothing arrives.
 constexpr Duration kBetweenLines = 5s;
 constexpr Duration kMostBetweenLines = 80s;
-/// Who needs a group's records asks again within some seconds.
+/// Nodes that need a group's records retry within some seconds.
 constexpr Duration kUnaskedAfter = 10s;
 constexpr Duration kMostUnaskedPause = 640s;
 constexpr std::size_t kMostUnaskedNamed = 8;
@@ -68,7 +68,7 @@
     for (const awaited_source& source : replica_.awaited_sources(group)) {
       sources.push_back(source.identity);
     }
-    // A member that votes catches up after each start and each false alarm: told only if that lasts.
+    // A voting member catches up after each start and each false alarm; this is logged only if it takes long.
     if (copy.to_vote && !sources.empty()) {
       log_.record("replica_copy_begun", {{"group", group}, {"epoch", epoch}, {"sources", text_of(sources)}});
     }
--- a/src/ledger/rocksdb_disk.cpp
+++ b/src/ledger/rocksdb_disk.cpp
@@ -16,13 +16,13 @@
 
 constexpr char kIdentityFile[] = "disk_id";
 constexpr char kFormerRecordsFolder[] = "records.former";
-/// Within the database; the areas of replicas have one letter.
+/// Key in the database; it cannot collide with the one-letter prefixes of replica data.
 constexpr char kIdentityKey[] = "disk/identity";
-/// Of the descriptions of groups, which a replica writes before any record.
+/// Prefix of group states, which a replica writes before any record.
 constexpr char kGroupStates[] = "g/";
 constexpr std::size_t kMostIdentityBytes = 256;
 
-/// A file descriptor that is closed with its scope.
+/// A file descriptor that is closed at the end of its scope.
 class Descriptor {
  public:
   Descriptor(const std::string& path, int flags) : number_(::open(path.c_str(), flags | O_CLOEXEC, 0644)) {}
@@ -44,7 +44,7 @@
   const int number_;
 };
 
-/// Writes a small file so that it survives a loss of power, whole or not at all.
+/// Writes a small file atomically and durably.
 bool write_durably(const std::string& folder, const std::string& name, const std::string& text) {
   const std::string path = folder + "/" + name;
   const std::string unfinished = path + ".new";
@@ -61,7 +61,7 @@
   return Error{ErrorKind::storage_unwritable, what + ": " + std::strerror(errno)};
 }
 
-/// Makes @p folder and the folders above it, each of which survives a loss of power.
+/// Creates @p folder and its parent folders durably.
 Status make_folder(const std::filesystem::path& folder) {
   std::error_code failure;
   if (std::filesystem::is_directory(folder, failure)) {
@@ -73,12 +73,12 @@
   }
   std::filesystem::create_directory(folder, failure);
   if (failure) {
-    return Error{ErrorKind::storage_unwritable, "cannot make " + folder.string() + ": " + failure.message()};
+    return Error{ErrorKind::storage_unwritable, "cannot create " + folder.string() + ": " + failure.message()};
   }
   return sync_folder(parent.string()) ? Status(Ok{}) : unwritable("cannot sync " + parent.string());
 }
 
-/// @return the identity in the file; nothing where there is no file.
+/// @return the identity in the file; nothing if there is no file.
 Result<std::optional<std::string>> read_identity_file(const std::string& folder) {
   const std::string path = folder + "/" + kIdentityFile;
   const Descriptor file(path, O_RDONLY);
@@ -93,17 +93,17 @@
   const std::string text(bytes.data(), static_cast<std::size_t>(size));
   const std::size_t end = text.find_first_of(" \t\r\n");
   if (end == 0 || end == std::string::npos) {
-    return Error{ErrorKind::corrupted, path + " is empty or torn"};
+    return Error{ErrorKind::corrupted, path + " is empty or truncated"};
   }
   return std::optional(text.substr(0, end));
 }
 
-/// What a folder tells of its identity.
+/// What a disk folder contains.
 struct FolderContents {
   std::optional<std::string> in_file;
   std::optional<std::string> in_records;
   bool holds_group_states = false;
-  bool holds_records = false;  ///< Anything but the identity.
+  bool holds_records = false;  ///< Any key other than the identity.
 };
 
 Result<FolderContents> look_into(const RocksDbStorage& storage, std::optional<std::string> in_file) {
@@ -137,11 +137,11 @@
   if (!found.in_file) {
     return found.holds_records ? NewIdentityReason::records_without_identity : NewIdentityReason::empty_folder;
   }
-  // Earlier versions wrote the identity to the file alone.
+  // Earlier versions wrote the identity only to the file.
   return found.holds_group_states ? NewIdentityReason::none : NewIdentityReason::records_gone;
 }
 
-/// @return how much log the database in @p folder has to read; what cannot be told is left out.
+/// @return the size of the log files that the database in @p folder has to read, without files whose size is unknown.
 std::uint64_t log_bytes_in(const std::string& folder) {
   std::uint64_t bytes = 0;
   std::error_code failure;
@@ -157,7 +157,7 @@
   return bytes;
 }
 
-/// Closes the database, moves it aside and makes an empty one. Records that were moved aside before are removed.
+/// Closes the database, moves it aside and creates an empty one. Records that were moved aside before are removed.
 Status replace_records(const std::string& folder, const Executors& executors, OpenedDisk& disk) {
   disk.storage.reset();
   disk.former_records = folder + "/" + kFormerRecordsFolder;
@@ -181,14 +181,14 @@
   return Ok{};
 }
 
-/// Writes the identity into the database, then the file: a file tells that a database was here.
+/// Writes the identity to the database first and then to the file, so that a file implies that a database existed.
 Status keep_identity(const std::string& folder, const FolderContents& found, const OpenedDisk& disk) {
   if (found.in_records != disk.identity) {
     if (const Status kept = disk.storage->put_synced(kIdentityKey, disk.identity); !succeeded(kept)) {
       return kept;
     }
   }
-  // The database's own folder is an entry here that the database does not sync.
+  // The database folder is an entry of this folder, which the database does not sync.
   if (!sync_folder(folder)) {
     return unwritable("cannot sync " + folder);
   }
--- a/src/ledger/rocksdb_disk_opener.cpp
+++ b/src/ledger/rocksdb_disk_opener.cpp
@@ -11,7 +11,7 @@
   return error.kind == ErrorKind::storage_unwritable || error.kind == ErrorKind::unavailable;
 }
 
-/// The first attempt, as both threads see it.
+/// State of the first attempt, shared by both threads.
 struct disk_opener::First {
   enum class State { under_way, ended, left_to_hooks };
   std::optional<Result<OpenedDisk>> outcome;
@@ -59,7 +59,7 @@
 
 void disk_opener::attempt() {
   executors_.background([this] {
-    // Tasks are copied.
+    // Held by a shared pointer, since tasks have to be copyable.
     auto opened = std::make_shared<Result<OpenedDisk>>(open_disk(folder_, random_, executors_));
     executors_.owner([this, opened] { finish(std::move(*opened)); });
   });
--- a/src/ledger/rocksdb_storage.cpp
+++ b/src/ledger/rocksdb_storage.cpp
@@ -18,14 +18,15 @@
 namespace {
 constexpr std::size_t kCacheBytes = 8 << 20;
 constexpr int kBloomBitsPerKey = 10;
-constexpr std::size_t kManifestOfOneChange = 1;  ///< Bytes after which the next change goes to a new manifest.
+constexpr std::size_t kManifestOfOneChange =
+    1;  ///< Manifest size in bytes after which the next change starts a new manifest.
 
 rocksdb::Slice slice_of(const wire::Bytes& bytes) {
   return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
 }
 
-/// Takes what the database says of its own work. Its usual file of messages would be on the disk that it reports on,
-/// and this version of RocksDB ends the process with the second line that such a file refuses.
+/// Receives the log messages of the database. By default RocksDB writes them to a file on the disk that they are about,
+/// and this version of RocksDB terminates the process when the second write to that file fails.
 class MessageLog : public rocksdb::Logger {
  public:
   MessageLog() : rocksdb::Logger(rocksdb::InfoLogLevel::WARN_LEVEL) {}
@@ -52,17 +53,18 @@
   Executors executors;
   using Waiting = std::vector<std::function<void(Status)>>;
   Waiting waiting;
-  std::shared_ptr<Waiting> under_way;  ///< They wait for the sync under way; none: there is no sync.
-  std::uint64_t puts = 0;              ///< Since the database was opened.
-  std::uint64_t syncing_puts = 0;      ///< Covered by the sync under way, or else by the last one.
+  std::shared_ptr<Waiting> under_way;  ///< Callers that wait for the sync in progress; null: no sync is in progress.
+  std::uint64_t puts = 0;              ///< Number of writes since the database was opened.
+  std::uint64_t syncing_puts = 0;      ///< Number of writes covered by the sync in progress, or by the latest one.
   std::uint64_t synced_puts = 0;
   std::string folder;
   rocksdb::Env* env = nullptr;
   std::size_t write_buffer_bytes = kWriteBufferBytes;
   DiskTroubleHooks hooks;
-  /// A write or sync failed: the owner does not touch the database, which the background task opens again.
+  /// A write or sync failed: the owner's thread does not use the database, which the background task reopens.
   bool failed = false;
-  /// The same for the background task: RocksDB may end the process where a log is synced whose write has failed.
+  /// The same for the background task: RocksDB may terminate the process if a log is synced after a write to it has
+  /// failed.
   std::atomic<bool> log_refused = false;
   Duration reopen_after{};
 };
@@ -71,10 +73,10 @@
   rocksdb::Options options;
   options.env = implementation.env;
   options.create_if_missing = true;
-  // Opens with what was synced, whatever a loss of power left of the writes after it.
+  // Opens with what was synced, whatever a power loss left of later writes.
   options.wal_recovery_mode = rocksdb::WALRecoveryMode::kPointInTimeRecovery;
-  // Each change of tables makes a new manifest, which is named only once it is synced: one that is written on and torn
-  // by a loss of power before its sync cannot be opened.
+  // Each change of tables creates a new manifest, which is referenced only once it is synced. A manifest that is
+  // appended to and truncated by a power loss before its sync could not be opened.
   options.max_manifest_file_size = kManifestOfOneChange;
   options.write_buffer_size = implementation.write_buffer_bytes;
   options.max_background_jobs = 2;
@@ -172,7 +174,7 @@
 
 void RocksDbStorage::write(rocksdb::WriteBatch& batch) {
   if (implementation_->failed) {
-    return;  // the flush that goes with it fails
+    return;  // The flush that follows fails.
   }
   ++implementation_->puts;
   const rocksdb::Status status = [&] {
@@ -254,7 +256,7 @@
   for (const auto& done : *group) {
     done(Ok{});
   }
-  // One of them may have begun the next sync.
+  // One of the callbacks may have started the next sync.
   if (!implementation->waiting.empty() && !implementation->under_way) {
     start_flush(implementation);
   }
@@ -279,7 +281,7 @@
   implementation->failed = true;
   implementation->reopen_after = kReopenAfter;
   schedule_reopen(implementation);
-  // Later, since whoever put something is in the middle of what the owner drops now.
+  // Deferred, because the caller of the failed write is still using the state that the owner discards now.
   implementation->executors.owner([implementation, error] {
     if (implementation->hooks.refused) {
       implementation->hooks.refused(error);
@@ -301,7 +303,7 @@
 }
 
 void RocksDbStorage::reopen(const std::shared_ptr<Implementation>& implementation) {
-  // After a sync under way, if there is one: background tasks run one after the other.
+  // Runs after a sync in progress, since background tasks run one at a time.
   implementation->executors.background([implementation] {
     implementation->database.reset();
     const Status opened = open_database(*implementation);
@@ -318,7 +320,7 @@
     }
     return;
   }
-  // What the log held was written to a table and synced when the database was opened.
+  // When the database was opened, the contents of its log were written to a table and synced.
   implementation->failed = false;
   implementation->log_refused = false;
   implementation->puts = 0;
