--- a/src/ledger/client.cpp
+++ b/src/ledger/client.cpp
@@ -10,20 +10,21 @@
 constexpr unsigned kMaxBackoffExponent = 6;
 /// The timeouts of the attempts at a change or a scan are 0.4, 0.8 and then 1.6 s: three attempts fit into the 4 s of
 /// an operation.
-constexpr unsigned kMostAttemptDoublings = 2;
+constexpr unsigned kMaxAttemptDoublings = 2;
 /// How long a notice of a group's next epoch may wait to be sent. Members that miss it learn of the epoch with the next
 /// request that they refuse.
-constexpr Duration kNoticeUsefulFor = 4s;
+constexpr Duration kGroupNoticeTimeout = 4s;
 /// Named records that are read individually when a replica does not support fetches by name; the others are left to a
 /// later fetch. As many as are settled concurrently, so that the first requested ones are among them.
-constexpr std::size_t kMostReadSingly = 8;
+constexpr std::size_t kMaxSingleReads = 8;
 
 /// @return whether @p reply to a fetch comes from a replica that does not support fetches by name: it handles the
 ///         request as a scan with limit 0.
-bool knows_no_names(const wire::ScanReplyT& reply) { return reply.truncated || reply.records.empty(); }
+bool lacks_fetch_support(const wire::ScanReplyT& reply) { return reply.truncated || reply.records.empty(); }
 
-bool some_know_no_names(const std::map<std::uint32_t, wire::ScanReplyT>& replies) {
-  return std::any_of(replies.begin(), replies.end(), [](const auto& entry) { return knows_no_names(entry.second); });
+bool any_lacks_fetch_support(const std::map<std::uint32_t, wire::ScanReplyT>& replies) {
+  return std::any_of(replies.begin(), replies.end(),
+                     [](const auto& entry) { return lacks_fetch_support(entry.second); });
 }
 /// Removes all requests of the scan @p id. Requests of earlier attempts are kept until the scan ends.
 template <class Requests, class Id>
@@ -101,7 +102,7 @@
     wire::AdoptGroupT notice;
     notice.group = group;
     notice.description = std::make_unique<wire::GroupDescriptionT>(*decided);
-    broadcast(before, notice, kNoticeUsefulFor);
+    broadcast(before, notice, kGroupNoticeTimeout);
     done(map_.groups[group]);
   });
   start_attempt(submit(std::move(operation)));
@@ -133,7 +134,7 @@
   wire::AdoptGroupT notice;
   notice.group = group;
   notice.description = std::make_unique<wire::GroupDescriptionT>(to_wire(description));
-  broadcast(description, notice, kNoticeUsefulFor);
+  broadcast(description, notice, kGroupNoticeTimeout);
   for (const ReplicaIdentity& leaver : description.leaving) {
     if (const auto address = addresses_(leaver.node)) {
       send_message(environment_, *address, notice);
@@ -238,9 +239,9 @@
   operation.group_number = map_.group_of(operation.key);
   operation.group = map_.groups[operation.group_number];
   operation.granted.clear();
-  operation.admitted = 0;
-  operation.whole = 0;
-  operation.say_nothing = 0;
+  operation.admitted_grants = 0;
+  operation.whole_grants = 0;
+  operation.standing_unknown = 0;
   operation.not_whole.clear();
   operation.refused = 0;
   operation.best_accepted = Ballot{};
@@ -299,11 +300,11 @@
 Duration Client::attempt_time(const Operation& operation) const {
   // Timeouts grow because answers of an expired attempt do not count: with disks slower than the timeout of the first
   // attempt every answer would arrive too late.
-  const unsigned doublings = std::min(operation.attempts - 1, kMostAttemptDoublings);
+  const unsigned doublings = std::min(operation.attempts - 1, kMaxAttemptDoublings);
   Duration time = options_.attempt_timeout * (1U << doublings);
   if (operation.phase == Phase::accepting && operation.value) {
     const std::size_t bytes = operation.value->size() * operation.group.replicas.size();
-    time += std::chrono::milliseconds(bytes * 1000 / options_.least_bytes_per_second);
+    time += std::chrono::milliseconds(bytes * 1000 / options_.min_bytes_per_second);
   }
   return std::min(time, std::max<Duration>(operation.deadline - environment_.now(), options_.attempt_timeout));
 }
@@ -447,9 +448,9 @@
   operation.best_count += accepted == operation.best_accepted ? 1 : 0;
   // Members of earlier versions grant a decision only if they are admitted, and do not report whether they are whole.
   const bool says_nothing = message.standing == wire::ReplicaStanding::NotSaid;
-  operation.say_nothing += says_nothing ? 1 : 0;
-  operation.admitted += says_nothing || message.standing == wire::ReplicaStanding::Admitted ? 1 : 0;
-  operation.whole += message.whole && !operation.lets_go(message.replica) ? 1 : 0;
+  operation.standing_unknown += says_nothing ? 1 : 0;
+  operation.admitted_grants += says_nothing || message.standing == wire::ReplicaStanding::Admitted ? 1 : 0;
+  operation.whole_grants += message.whole && !operation.lets_go(message.replica) ? 1 : 0;
   if (!says_nothing && !message.whole) {
     operation.not_whole.insert(message.replica);
   }
@@ -460,14 +461,14 @@
 
 bool Client::Operation::is_safe_to_decide() const {
   const bool proposed_before = !best_accepted.is_zero();
-  const bool all_of_earlier_versions = say_nothing == granted.size();
+  const bool all_of_earlier_versions = standing_unknown == granted.size();
   if (!only_epoch || proposed_before || all_of_earlier_versions) {
     return true;
   }
   if (rule.whole_majority) {
-    return whole >= std::max(group.majority(), rule.least_whole);
+    return whole_grants >= std::max(group.majority(), rule.least_whole);
   }
-  return whole > 0 || (!rule.sole && admitted >= needed());
+  return whole_grants > 0 || (!rule.sole && admitted_grants >= needed());
 }
 
 void Client::promises_complete(OperationId id, Operation& operation) {
@@ -601,8 +602,8 @@
   std::pair<bool, unsigned> best_rank{true, UINT_MAX};
   for (std::uint32_t index = 0; index < group.replicas.size(); ++index) {
     const NodeId& node = group.replicas[index].node;
-    const auto silent = silent_until_.find(node);
-    const bool avoided = silent != silent_until_.end() && environment_.now() < silent->second;
+    const auto silent = avoided_until_.find(node);
+    const bool avoided = silent != avoided_until_.end() && environment_.now() < silent->second;
     const std::pair<bool, unsigned> rank{avoided || !addresses_(node), distance_ ? distance_(node) : 0};
     if (rank < best_rank) {
       best_rank = rank;
@@ -633,7 +634,7 @@
   ask_for_scan(scan);
   const unsigned attempt = scan.attempts;
   const std::uint64_t number = scan.request;
-  const Duration patience = options_.attempt_timeout * (1U << std::min(attempt - 1, kMostAttemptDoublings));
+  const Duration patience = options_.attempt_timeout * (1U << std::min(attempt - 1, kMaxAttemptDoublings));
   environment_.after(patience, lifetime_.guard([this, id, number, attempt] {
     const auto found = scans_.find(id);
     if (found != scans_.end() && found->second.request == number && found->second.attempts == attempt) {
@@ -709,7 +710,7 @@
   scan.value_timer = true;
   const std::uint64_t number = scan.request;
   const unsigned attempt = scan.attempts;
-  const auto bytes_time = std::chrono::milliseconds(scan.max_bytes * 1000 / options_.least_value_bytes_per_second);
+  const auto bytes_time = std::chrono::milliseconds(scan.max_bytes * 1000 / options_.min_value_bytes_per_second);
   environment_.after(options_.value_wait + bytes_time, lifetime_.guard([this, id, number, attempt] {
     const auto found = scans_.find(id);
     const bool over = found == scans_.end() || found->second.request != number || found->second.attempts != attempt;
@@ -718,7 +719,7 @@
     }
     counters_["ledger_scan_values_late_total"]++;
     const NodeId silent = found->second.group.replicas[*found->second.source].node;
-    silent_until_[silent] = environment_.now() + options_.avoid_silent;
+    avoided_until_[silent] = environment_.now() + options_.avoid_unresponsive;
     start_scan(id);
   }));
 }
@@ -842,12 +843,12 @@
   std::size_t reached = scan.keys.size();
   // A replica that does not support fetches by name has no information about the records: each record is settled by a
   // read unless the other replicas agree on it.
-  const bool some_know_none = fetched && some_know_no_names(scan.replies);
-  if (some_know_none) {
-    reached = std::min(reached, kMostReadSingly);
+  const bool some_lack_fetch_support = fetched && any_lacks_fetch_support(scan.replies);
+  if (some_lack_fetch_support) {
+    reached = std::min(reached, kMaxSingleReads);
   }
   for (const auto& [replica, reply] : scan.replies) {
-    if (fetched && knows_no_names(reply)) {
+    if (fetched && lacks_fetch_support(reply)) {
       continue;
     }
     if (reply.truncated && !reply.records.empty() && (horizon.empty() || reply.records.back()->key < horizon)) {
@@ -863,14 +864,14 @@
     const wire::Bytes* value = nullptr;  ///< Null if only the ballot is known.
   };
   std::map<std::string, Candidate> candidates;
-  for (std::size_t position = 0; some_know_none && position < reached; ++position) {
+  for (std::size_t position = 0; some_lack_fetch_support && position < reached; ++position) {
     candidates.try_emplace(scan.keys[position]);
   }
   for (const auto& [replica, reply] : scan.replies) {
     std::size_t position = 0;
     for (const auto& record : reply.records) {
       const bool beyond =
-          fetched ? position++ >= reached || knows_no_names(reply) : !horizon.empty() && record->key > horizon;
+          fetched ? position++ >= reached || lacks_fetch_support(reply) : !horizon.empty() && record->key > horizon;
       if (beyond) {
         break;
       }
@@ -906,13 +907,14 @@
   auto node = scans_.extract(id);
   Scan& scan = node.mapped();
   const std::shared_ptr<MergedPage> merged = merge_replies(scan);
-  counters_["ledger_fetches_not_understood_total"] += !scan.keys.empty() && some_know_no_names(scan.replies) ? 1 : 0;
-  if (merged->positions.size() > options_.most_settled_at_once && !scan.keys.empty()) {
+  counters_["ledger_fetches_not_understood_total"] +=
+      !scan.keys.empty() && any_lacks_fetch_support(scan.replies) ? 1 : 0;
+  if (merged->positions.size() > options_.max_concurrent_settles && !scan.keys.empty()) {
     // The remaining records are left to a later fetch.
-    for (std::size_t number = options_.most_settled_at_once; number < merged->positions.size(); ++number) {
+    for (std::size_t number = options_.max_concurrent_settles; number < merged->positions.size(); ++number) {
       merged->page.records[merged->positions[number]].key.clear();
     }
-    merged->positions.resize(options_.most_settled_at_once);
+    merged->positions.resize(options_.max_concurrent_settles);
   }
   settle(merged, std::move(scan.done));
 }
--- a/src/ledger/client.hpp
+++ b/src/ledger/client.hpp
@@ -49,7 +49,7 @@
   Duration attempt_timeout = 400ms;  ///< Timeout of the first attempt; each further attempt doubles it.
   /// Lowest assumed bandwidth for sending values; the timeout of an attempt is extended by the transfer time of its
   /// value at this rate.
-  std::size_t least_bytes_per_second = 1 << 20;
+  std::size_t min_bytes_per_second = 1 << 20;
   Duration operation_timeout = 4s;
   /// How long a change that a majority has accepted waits for the remaining replicas.
   Duration full_copy_wait = 20ms;
@@ -57,11 +57,11 @@
   /// How long a scan waits for the values once the other replicas have sent their ballots.
   Duration value_wait = 200ms;
   /// Lowest assumed bandwidth for values of fetched records; a fetch waits longer by their transfer time at this rate.
-  std::size_t least_value_bytes_per_second = 4 << 20;
+  std::size_t min_value_bytes_per_second = 4 << 20;
   /// Limit on fetched records that are settled concurrently: each takes two rounds with the whole group.
-  std::size_t most_settled_at_once = 8;
+  std::size_t max_concurrent_settles = 8;
   /// For how long a replica that delayed a scan is not the first choice as the source of values.
-  Duration avoid_silent = 2s;
+  Duration avoid_unresponsive = 2s;
 };
 
 /// @return the distance of a node from this one; values are requested from the nearest node.
@@ -166,10 +166,10 @@
     EpochRule rule;
     std::map<PeerAddress, wire::ReplicaStatus> refusals;  ///< The latest refusal of each member over all attempts.
     std::optional<std::uint64_t> only_epoch;  ///< Of a decision: the epoch for whose members alone its rule is valid.
-    std::size_t admitted = 0;                 ///< Of a decision: number of members that granted it and vote on records.
-    std::size_t whole = 0;  ///< Of a decision: number of members that granted it and hold every confirmed record,
-                            ///< without the one to be let go.
-    std::size_t say_nothing =
+    std::size_t admitted_grants = 0;          ///< Of a decision: number of members that granted it and vote on records.
+    std::size_t whole_grants = 0;  ///< Of a decision: number of members that granted it and hold every confirmed
+                                   ///< record, without the one to be let go.
+    std::size_t standing_unknown =
         0;  ///< Of a decision: number of granting members of earlier versions, which do not report their standing.
     std::set<std::uint32_t> not_whole;  ///< Of a decision: members that granted it and may lack confirmed records.
     std::optional<std::uint32_t> given_up_answer;  ///< Of a decision: set when the member to be given up has answered.
@@ -277,7 +277,7 @@
   const ClientOptions options_;
   const NodeDistance distance_;
   std::set<ReplicaIdentity> obsolete_;
-  std::map<NodeId, Timestamp> silent_until_;  ///< Replicas that delayed scans, and until when others are preferred.
+  std::map<NodeId, Timestamp> avoided_until_;  ///< Replicas that delayed scans, and until when others are preferred.
   const std::uint64_t proposer_;
   GroupMap map_;
   std::uint64_t highest_counter_ = 0;
--- a/src/ledger/epoch_change.cpp
+++ b/src/ledger/epoch_change.cpp
@@ -9,7 +9,7 @@
 namespace madderdeck::ledger {
 namespace {
 
-constexpr std::size_t kPair = 2;          ///< Size of the smallest group, in which a majority needs all members.
+constexpr std::size_t kPairSize = 2;      ///< Size of the smallest group, in which a majority needs all members.
 constexpr int kDeclinedRank = 1'000'000;  ///< Exceeds the number of members in any zone.
 
 bool contains(const std::vector<ReplicaIdentity>& list, const ReplicaIdentity& identity) {
@@ -78,8 +78,8 @@
 
 /// @return a former member that is being drained and still up, for a pair of which one member is gone. Without it the
 ///         other member alone would confirm records that no other disk holds.
-std::optional<ReplicaIdentity> leaver_beside_survivor(const ReplicaGroup& group, const fleet_view& view) {
-  if (group.replicas.size() != kPair) {
+std::optional<ReplicaIdentity> draining_former_member(const ReplicaGroup& group, const fleet_view& view) {
+  if (group.replicas.size() != kPairSize) {
     return std::nullopt;
   }
   const auto leaver = std::find_if(group.leaving.begin(), group.leaving.end(), [&view](const auto& former) {
@@ -89,8 +89,9 @@
 }
 
 /// @return the other member of a pair, if it is up; nothing for groups of other sizes.
-std::optional<ReplicaIdentity> survivor_of(const ReplicaGroup& group, std::size_t lost, const fleet_view& view) {
-  if (group.replicas.size() != kPair) {
+std::optional<ReplicaIdentity> remaining_member_of(const ReplicaGroup& group, std::size_t lost,
+                                                   const fleet_view& view) {
+  if (group.replicas.size() != kPairSize) {
     return std::nullopt;
   }
   const ReplicaIdentity& other = group.replicas[1 - lost];
@@ -107,17 +108,17 @@
   if (!other) {
     other = returned_member(group, view);
   }
-  const auto survivor = lost ? std::nullopt : survivor_of(group, index, view);
+  const auto survivor = lost ? std::nullopt : remaining_member_of(group, index, view);
   if (!other && survivor) {
-    other = leaver_beside_survivor(group, view);
+    other = draining_former_member(group, view);
   }
   // The member was being drained and its records are lost. Without this its place would stay empty forever.
-  const bool lost_as_it_left = lost && view.is_retiring(replica.node) && group.replicas.size() > 1;
+  const bool lost_while_draining = lost && view.is_retiring(replica.node) && group.replicas.size() > 1;
   const auto position = change.next.replicas.begin() + static_cast<std::ptrdiff_t>(index);
   if (other) {
     *position = *other;
     std::erase(change.next.leaving, *other);
-  } else if (survivor || lost_as_it_left) {
+  } else if (survivor || lost_while_draining) {
     change.next.replicas.erase(position);
   } else {
     return false;
--- a/src/ledger/group_health.cpp
+++ b/src/ledger/group_health.cpp
@@ -5,35 +5,35 @@
 namespace madderdeck::ledger {
 namespace {
 
-constexpr Duration kCheck = 500ms;
+constexpr Duration kCheckInterval = 500ms;
 /// Under normal conditions a live member that was suspected has refuted it by then.
-constexpr Duration kLostAfter = 2s;
-constexpr Duration kRegainedAfter = 500ms;
+constexpr Duration kLossReportDelay = 2s;
+constexpr Duration kRecoveryReportDelay = 500ms;
 /// Minimum interval between loss reports of one group: at most two lines per group in that time.
-constexpr Duration kLeastBetweenLosses = 10s;
+constexpr Duration kMinLossReportInterval = 10s;
 /// Grace period after startup, while the node has not heard of all members yet.
-constexpr Duration kStarting = 3s;
+constexpr Duration kStartupGracePeriod = 3s;
 /// How long a refusal is taken into account; by then the member has been asked or has answered the next request.
-constexpr Duration kRefusalHolds = 5s;
+constexpr Duration kRefusalLifetime = 5s;
 /// Interval between any two questions; a question and its answer are about 70 bytes each.
-constexpr Duration kBetweenQuestions = 1s;
-/// Interval between questions to one member about one group; it doubles after kAsksBeforeDoubling questions. An
+constexpr Duration kMinQuestionInterval = 1s;
+/// Interval between questions to one member about one group; it doubles after kQuestionsBeforeDoubling questions. An
 /// admitted member also reports it unasked.
-constexpr Duration kFirstAskPause = 1s;
-constexpr unsigned kAsksBeforeDoubling = 4;
-constexpr unsigned kMostAskDoublings = 4;
+constexpr Duration kFirstQuestionPause = 1s;
+constexpr unsigned kQuestionsBeforeDoubling = 4;
+constexpr unsigned kMaxQuestionDoublings = 4;
 /// Limit while a group has no majority, so that its recovery is noticed soon.
-constexpr unsigned kMostAskDoublingsWhenLost = 2;
+constexpr unsigned kMaxQuestionDoublingsWhenLost = 2;
 constexpr std::uint64_t kFoundingEpoch = 1;
 /// Questions are sent over connections. One that is not answered reached no node, or a node that does not know the
 /// epoch and runs a version that does not report this.
-constexpr unsigned kUnansweredMeansSilent = 3;
+constexpr unsigned kUnresponsiveQuestions = 3;
 /// A node is silent if it answers none of the requests that were sent to it for this time.
-constexpr Duration kSilentAfter = 3s;
-constexpr unsigned kSilentRequests = 5;
+constexpr Duration kUnresponsiveAfter = 3s;
+constexpr unsigned kUnresponsiveRequests = 5;
 /// Longer than copying 30 MB of records takes with half a core.
-constexpr Duration kLongWait = 5s;
-constexpr Duration kMostWaitPause = 80s;
+constexpr Duration kUnadmittedReportDelay = 5s;
+constexpr Duration kMaxUnadmittedReportPause = 80s;
 
 /// @return the state that a member reports for @p epoch; nothing if the report does not determine it.
 std::optional<member_state> said_by(const wire::CopyStatusT& message, std::uint64_t epoch) {
@@ -91,7 +91,7 @@
       return "requests unanswered";
     case evidence::refusal:
       return "refused a request";
-    case evidence::word:
+    case evidence::own_report:
       return "its own word";
     case evidence::own_disk:
       return "this node";
@@ -156,15 +156,15 @@
 }
 
 void group_health::check() {
-  environment_.after(kCheck, lifetime_.guard([this] { check(); }));
-  take_epochs();
+  environment_.after(kCheckInterval, lifetime_.guard([this] { check(); }));
+  adopt_epochs();
   gone_.look(client_.group_map().groups);
   CounterValue lost = 0;
   CounterValue lost_with_gone_disks = 0;
   for (std::uint32_t group = 0; group < groups_.size(); ++group) {
     note_seen(group, groups_[group]);
     review(group, groups_[group]);
-    lost += groups_[group].told_lost ? 1 : 0;
+    lost += groups_[group].loss_reported ? 1 : 0;
     lost_with_gone_disks += review_gone(group, groups_[group]) ? 1 : 0;
   }
   counters_["ledger_groups_without_majority"] = lost;
@@ -175,7 +175,7 @@
   ask_next();
 }
 
-void group_health::take_epochs() {
+void group_health::adopt_epochs() {
   groups_.resize(client_.group_map().groups.size());
   for (std::uint32_t group = 0; group < groups_.size(); ++group) {
     const ReplicaGroup& present = description(group);
@@ -184,21 +184,21 @@
       continue;
     }
     state.epoch = present.epoch;
-    std::map<ReplicaIdentity, word> words;
+    std::map<ReplicaIdentity, member_report> reports;
     for (const ReplicaIdentity& identity : present.replicas) {
-      const auto known = state.words.find(identity);
-      const bool admitted = known != state.words.end() && known->second.said == member_state::counts;
+      const auto known = state.reports.find(identity);
+      const bool admitted = known != state.reports.end() && known->second.said == member_state::counts;
       // The disks of a group in its founding epoch lack no records.
       if (admitted) {
-        words[identity] = known->second;
+        reports[identity] = known->second;
       } else if (present.epoch == kFoundingEpoch) {
-        words[identity].said = member_state::counts;
-        words[identity].by = evidence::founding;
+        reports[identity].said = member_state::counts;
+        reports[identity].by = evidence::founding;
       } else {
-        words[identity] = word{};
+        reports[identity] = member_report{};
       }
     }
-    state.words = std::move(words);
+    state.reports = std::move(reports);
   }
 }
 
@@ -217,11 +217,11 @@
 
 void group_health::review(std::uint32_t group, group_state& state) {
   const Timestamp now = environment_.now();
-  if (now - started_ < kStarting) {
+  if (now - started_ < kStartupGracePeriod) {
     return;
   }
   const group_view seen = view(group);
-  const bool differs = state.told_lost ? seen.has_majority() : !seen.may_have_majority();
+  const bool differs = state.loss_reported ? seen.has_majority() : !seen.may_have_majority();
   if (!differs) {
     state.differs_since.reset();
     return;
@@ -229,9 +229,9 @@
   if (!state.differs_since) {
     state.differs_since = now;
   }
-  const bool settled = now - *state.differs_since >= (state.told_lost ? kRegainedAfter : kLostAfter);
-  const bool rested = state.told_lost_at.count() == 0 || now - state.told_lost_at >= kLeastBetweenLosses;
-  if (settled && (state.told_lost || rested)) {
+  const bool settled = now - *state.differs_since >= (state.loss_reported ? kRecoveryReportDelay : kLossReportDelay);
+  const bool rested = state.loss_reported_at.count() == 0 || now - state.loss_reported_at >= kMinLossReportInterval;
+  if (settled && (state.loss_reported || rested)) {
     tell(seen, state);
   }
 }
@@ -241,9 +241,9 @@
   const bool lost = !seen.has_majority();
   if (lost) {
     state.lost_since = *state.differs_since;
-    state.told_lost_at = now;
+    state.loss_reported_at = now;
   }
-  state.told_lost = lost;
+  state.loss_reported = lost;
   state.differs_since.reset();
   counters_[lost ? "ledger_majorities_lost_total" : "ledger_majorities_regained_total"]++;
   log_.record(lost ? "group_majority_lost" : "group_majority_regained",
@@ -257,14 +257,14 @@
 }
 
 bool group_health::review_gone(std::uint32_t group, group_state& state) {
-  if (!state.told_lost) {
-    state.told_gone.clear();
+  if (!state.loss_reported) {
+    state.reported_gone.clear();
     return false;
   }
   const std::vector<gone_disk> gone = gone_.named_by(description(group));
   std::size_t news = 0;
   for (const gone_disk& disk : gone) {
-    news += state.told_gone.insert(disk.identity).second ? 1 : 0;
+    news += state.reported_gone.insert(disk.identity).second ? 1 : 0;
   }
   if (news > 0) {
     log_.record("group_disks_gone", {{"group", group}, {"epoch", state.epoch}, {"gone", text_of(gone)}});
@@ -286,7 +286,7 @@
   seen.group = group;
   seen.epoch = present.epoch;
   for (const ReplicaIdentity& identity : present.replicas) {
-    const finding found = find_state(group, identity);
+    const known_state found = find_state(group, identity);
     member_view member{identity, found.state, found.known_by, {}, {}, {}};
     if (const Timestamp heard_at = last_heard(group, identity); heard_at.count() != 0) {
       member.heard_ago = environment_.now() - heard_at;
@@ -307,7 +307,7 @@
   return seen;
 }
 
-group_health::finding group_health::find_state(std::uint32_t group, const ReplicaIdentity& identity) const {
+group_health::known_state group_health::find_state(std::uint32_t group, const ReplicaIdentity& identity) const {
   const member_state presence = presence_of(identity);
   if (presence != member_state::counts) {
     return {presence, evidence::membership};
@@ -315,9 +315,9 @@
   if (replica_ != nullptr && replica_->is(identity)) {
     return {own_state(group), evidence::own_disk};
   }
-  const finding heard = heard_state(group, identity);
+  const known_state heard = heard_state(group, identity);
   const bool may_vote = heard.state == member_state::counts || heard.state == member_state::not_heard;
-  return may_vote && is_silent(identity.node) ? finding{member_state::silent, evidence::requests} : heard;
+  return may_vote && is_silent(identity.node) ? known_state{member_state::silent, evidence::requests} : heard;
 }
 
 member_state group_health::own_state(std::uint32_t group) const {
@@ -333,25 +333,25 @@
   return member_state::unknown_epoch;
 }
 
-group_health::finding group_health::heard_state(std::uint32_t group, const ReplicaIdentity& identity) const {
-  const word* heard = nullptr;
+group_health::known_state group_health::heard_state(std::uint32_t group, const ReplicaIdentity& identity) const {
+  const member_report* heard = nullptr;
   if (group < groups_.size()) {
-    const auto entry = groups_[group].words.find(identity);
-    heard = entry == groups_[group].words.end() ? nullptr : &entry->second;
+    const auto entry = groups_[group].reports.find(identity);
+    heard = entry == groups_[group].reports.end() ? nullptr : &entry->second;
   }
   if (heard == nullptr) {  // This node has just learnt of the epoch.
     const bool founding = description(group).epoch == kFoundingEpoch;
-    return founding ? finding{member_state::counts, evidence::founding} : finding{};
+    return founding ? known_state{member_state::counts, evidence::founding} : known_state{};
   }
-  const bool over = heard->by == evidence::refusal && environment_.now() - heard->heard_at >= kRefusalHolds;
+  const bool over = heard->by == evidence::refusal && environment_.now() - heard->heard_at >= kRefusalLifetime;
   if (heard->said && !over) {
     return {*heard->said, heard->by};
   }
-  if (heard->unanswered >= kUnansweredMeansSilent) {
+  if (heard->unanswered >= kUnresponsiveQuestions) {
     return {member_state::silent, evidence::requests};
   }
   const bool cannot_tell = heard->answered && !heard->said;
-  return cannot_tell ? finding{member_state::counts, evidence::word} : finding{};
+  return cannot_tell ? known_state{member_state::counts, evidence::own_report} : known_state{};
 }
 
 std::string group_health::explain(std::uint32_t group, const member_view& member) const {
@@ -386,12 +386,12 @@
 
 Timestamp group_health::last_heard(std::uint32_t group, const ReplicaIdentity& identity) const {
   Timestamp heard_at{};
-  if (const auto asked = silent_.find(identity.node); asked != silent_.end()) {
+  if (const auto asked = request_activities_.find(identity.node); asked != request_activities_.end()) {
     heard_at = asked->second.heard_at;
   }
   if (group < groups_.size()) {
-    const auto word = groups_[group].words.find(identity);
-    heard_at = word == groups_[group].words.end() ? heard_at : std::max(heard_at, word->second.heard_at);
+    const auto report = groups_[group].reports.find(identity);
+    heard_at = report == groups_[group].reports.end() ? heard_at : std::max(heard_at, report->second.heard_at);
   }
   return heard_at;
 }
@@ -399,18 +399,18 @@
 // --- incoming answers ------------------------------------------------------------------------
 
 void group_health::on_asked(const NodeId& node) {
-  silence& entry = silent_[node];
+  request_activity& entry = request_activities_[node];
   const Timestamp now = environment_.now();
   // Time without requests does not count as silence.
-  if (entry.requests == 0 || now - entry.last > kSilentAfter) {
-    entry = silence{now, now, 0, entry.heard_at};
+  if (entry.requests == 0 || now - entry.last > kUnresponsiveAfter) {
+    entry = request_activity{now, now, 0, entry.heard_at};
   }
   entry.last = now;
   ++entry.requests;
 }
 
 void group_health::on_heard(const PeerAddress& sender) {
-  for (auto& [node, entry] : silent_) {
+  for (auto& [node, entry] : request_activities_) {
     const wire::MemberT* member = entry.requests == 0 ? nullptr : member_(node);
     if (member != nullptr && member->peer_address == sender.str()) {
       entry.requests = 0;
@@ -421,19 +421,19 @@
 }
 
 bool group_health::is_silent(const NodeId& node) const {
-  const auto entry = silent_.find(node);
-  if (entry == silent_.end() || entry->second.requests < kSilentRequests) {
+  const auto entry = request_activities_.find(node);
+  if (entry == request_activities_.end() || entry->second.requests < kUnresponsiveRequests) {
     return false;
   }
   const Timestamp now = environment_.now();
-  return now - entry->second.first >= kSilentAfter && now - entry->second.last < kSilentAfter;
+  return now - entry->second.first >= kUnresponsiveAfter && now - entry->second.last < kUnresponsiveAfter;
 }
 
-group_health::word* group_health::word_of(const PeerAddress& sender, std::uint32_t group) {
+group_health::member_report* group_health::report_of(const PeerAddress& sender, std::uint32_t group) {
   if (group >= groups_.size()) {
     return nullptr;
   }
-  for (auto& [identity, heard] : groups_[group].words) {
+  for (auto& [identity, heard] : groups_[group].reports) {
     const wire::MemberT* node = member_(identity.node);
     if (node != nullptr && node->peer_address == sender.str()) {
       return &heard;
@@ -442,21 +442,22 @@
   return nullptr;
 }
 
-group_health::word* group_health::word_at(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch) {
+group_health::member_report* group_health::report_at(const PeerAddress& sender, std::uint32_t group,
+                                                     std::uint64_t epoch) {
   // The epoch may have been learnt since the last check.
   if (group >= groups_.size() || groups_[group].epoch != epoch) {
-    take_epochs();
+    adopt_epochs();
   }
   const bool present = group < groups_.size() && groups_[group].epoch == epoch;
-  return present ? word_of(sender, group) : nullptr;
+  return present ? report_of(sender, group) : nullptr;
 }
 
 bool group_health::all_admitted(std::uint32_t group, std::uint64_t epoch) const {
   if (group >= groups_.size() || groups_[group].epoch != epoch) {
     return false;
   }
-  const auto& words = groups_[group].words;
-  return std::all_of(words.begin(), words.end(),
+  const auto& reports = groups_[group].reports;
+  return std::all_of(reports.begin(), reports.end(),
                      [](const auto& entry) { return entry.second.said == member_state::counts; });
 }
 
@@ -464,12 +465,12 @@
   if (all_admitted(group, epoch)) {
     return;
   }
-  word* heard = word_at(sender, group, epoch);
+  member_report* heard = report_at(sender, group, epoch);
   if (heard == nullptr) {
     return;
   }
   heard->said = member_state::counts;
-  heard->by = evidence::word;
+  heard->by = evidence::own_report;
   heard->heard_at = environment_.now();
   heard->unanswered = 0;
 }
@@ -489,7 +490,7 @@
     case wire::ReplicaStatus::NotReady:
       break;
   }
-  word* heard = word_at(sender, group, epoch);
+  member_report* heard = report_at(sender, group, epoch);
   if (heard == nullptr) {
     return;
   }
@@ -505,20 +506,20 @@
 }
 
 void group_health::handle(const PeerAddress& sender, const wire::CopyStatusT& message) {
-  word* heard = word_of(sender, message.group);
+  member_report* heard = report_of(sender, message.group);
   if (heard == nullptr) {
     return;
   }
   heard->unanswered = 0;
   heard->heard_at = environment_.now();
-  heard->by = evidence::word;
+  heard->by = evidence::own_report;
   heard->answered = true;
   heard->said = said_by(message, groups_[message.group].epoch);
 }
 
 // --- questions ------------------------------------------------------------------------------
 
-bool group_health::has_to_be_asked(const ReplicaIdentity& identity, const word& heard) const {
+bool group_health::has_to_be_asked(const ReplicaIdentity& identity, const member_report& heard) const {
   const bool admitted = heard.said == member_state::counts;
   const bool own = replica_ != nullptr && replica_->is(identity);
   return !admitted && !own && presence_of(identity) == member_state::counts;
@@ -526,11 +527,11 @@
 
 void group_health::ask_next() {
   const Timestamp now = environment_.now();
-  word* due = nullptr;
+  member_report* due = nullptr;
   const ReplicaIdentity* asked = nullptr;
   std::uint32_t asked_group = 0;
   for (std::uint32_t group = 0; group < groups_.size(); ++group) {
-    for (auto& [identity, heard] : groups_[group].words) {
+    for (auto& [identity, heard] : groups_[group].reports) {
       if (now >= heard.ask_at && (due == nullptr || heard.ask_at < due->ask_at) && has_to_be_asked(identity, heard)) {
         due = &heard;
         asked = &identity;
@@ -538,12 +539,14 @@
       }
     }
   }
-  if (due == nullptr || now - last_question_ < kBetweenQuestions) {
+  if (due == nullptr || now - last_question_ < kMinQuestionInterval) {
     return;
   }
-  const unsigned most_doublings = groups_[asked_group].told_lost ? kMostAskDoublingsWhenLost : kMostAskDoublings;
-  const unsigned doublings = std::min(std::max(due->asked, kAsksBeforeDoubling) - kAsksBeforeDoubling, most_doublings);
-  due->ask_at = now + kFirstAskPause * (1U << doublings);
+  const unsigned most_doublings =
+      groups_[asked_group].loss_reported ? kMaxQuestionDoublingsWhenLost : kMaxQuestionDoublings;
+  const unsigned doublings =
+      std::min(std::max(due->asked, kQuestionsBeforeDoubling) - kQuestionsBeforeDoubling, most_doublings);
+  due->ask_at = now + kFirstQuestionPause * (1U << doublings);
   ++due->asked;
   ++due->unanswered;
   last_question_ = now;
@@ -565,18 +568,18 @@
   });
   for (const Replica::unadmitted& replica : present) {
     const auto [entry, inserted] =
-        waiting_.try_emplace(replica.group, waiting_replica{now, now + kLongWait, kLongWait});
+        waiting_.try_emplace(replica.group, waiting_replica{now, now + kUnadmittedReportDelay, kUnadmittedReportDelay});
     waiting_replica& waiting = entry->second;
-    if (!inserted && now >= waiting.tell_at) {
-      tell_waiting(replica, waiting);
-      waiting.pause = std::min(waiting.pause * 2, kMostWaitPause);
-      waiting.tell_at = now + waiting.pause;
+    if (!inserted && now >= waiting.next_report_at) {
+      report_unadmitted(replica, waiting);
+      waiting.pause = std::min(waiting.pause * 2, kMaxUnadmittedReportPause);
+      waiting.next_report_at = now + waiting.pause;
     }
   }
   counters_["ledger_replicas_not_admitted"] = static_cast<CounterValue>(present.size());
 }
 
-void group_health::tell_waiting(const Replica::unadmitted& replica, const waiting_replica& waiting) {
+void group_health::report_unadmitted(const Replica::unadmitted& replica, const waiting_replica& waiting) {
   std::string sources;
   for (const ReplicaIdentity& source : replica.waits_for) {
     sources += (sources.empty() ? "" : ", ") + text_of(source) + " " +
--- a/src/ledger/group_health.hpp
+++ b/src/ledger/group_health.hpp
@@ -38,7 +38,7 @@
   membership,  ///< The membership state of its node.
   requests,    ///< Whether its node answers ledger requests.
   refusal,     ///< It refused a request of this node.
-  word,        ///< It granted a request of this node, or reported its state when asked.
+  own_report,  ///< It granted a request of this node, or reported its state when asked.
   own_disk,    ///< It is a replica of this node.
 };
 
@@ -116,7 +116,7 @@
 
  private:
   /// What a member has reported about one group.
-  struct word {
+  struct member_report {
     std::optional<member_state> said;  ///< One of counts, not_admitted and unknown_epoch.
     evidence by = evidence::nothing;   ///< A state derived from a refusal expires after a while.
     bool answered = false;             ///< It has answered, possibly without reporting whether it votes.
@@ -130,28 +130,28 @@
     member_state state = member_state::not_heard;
     Timestamp since{};
   };
-  struct finding {
+  struct known_state {
     member_state state = member_state::not_heard;
     evidence known_by = evidence::nothing;
   };
   struct group_state {
     std::uint64_t epoch = 0;
     std::map<ReplicaIdentity, seen_member> seen;
-    std::map<ReplicaIdentity, word> words;
-    bool told_lost = false;
+    std::map<ReplicaIdentity, member_report> reports;
+    bool loss_reported = false;
     std::optional<Timestamp> differs_since;  ///< Since when the reported state no longer applies.
     Timestamp lost_since{};
-    Timestamp told_lost_at{};             ///< When a loss was last reported; zero: never.
-    std::set<ReplicaIdentity> told_gone;  ///< Gone disks reported since the loss of the majority was reported.
+    Timestamp loss_reported_at{};             ///< When a loss was last reported; zero: never.
+    std::set<ReplicaIdentity> reported_gone;  ///< Gone disks reported since the loss of the majority was reported.
   };
   /// A replica on this node's disk that may not vote yet.
   struct waiting_replica {
     Timestamp since{};
-    Timestamp tell_at{};
+    Timestamp next_report_at{};
     Duration pause{};
   };
   /// Ledger requests that a node has not answered.
-  struct silence {
+  struct request_activity {
     Timestamp first{};
     Timestamp last{};
     unsigned requests = 0;
@@ -160,7 +160,7 @@
 
   void check();
   /// Adopts later epochs: disks that remain members are still admitted.
-  void take_epochs();
+  void adopt_epochs();
   void note_seen(std::uint32_t group, group_state& state) const;
   void review(std::uint32_t group, group_state& state);
   void tell(const group_view& seen, group_state& state);
@@ -168,14 +168,14 @@
   /// @return whether there are any such disks.
   bool review_gone(std::uint32_t group, group_state& state);
   void review_admissions();
-  void tell_waiting(const Replica::unadmitted& replica, const waiting_replica& waiting);
+  void report_unadmitted(const Replica::unadmitted& replica, const waiting_replica& waiting);
   /// Asks the member whose question has been due for longest, if the rate limit permits a question now.
   void ask_next();
   /// @return whether the member has to be asked for its standing.
-  bool has_to_be_asked(const ReplicaIdentity& identity, const word& heard) const;
-  finding find_state(std::uint32_t group, const ReplicaIdentity& identity) const;
+  bool has_to_be_asked(const ReplicaIdentity& identity, const member_report& heard) const;
+  known_state find_state(std::uint32_t group, const ReplicaIdentity& identity) const;
   /// @return the state that the member has reported, provided that its node answers probes.
-  finding heard_state(std::uint32_t group, const ReplicaIdentity& identity) const;
+  known_state heard_state(std::uint32_t group, const ReplicaIdentity& identity) const;
   /// @return the state of this node's own replica.
   member_state own_state(std::uint32_t group) const;
   /// @return the state of its node, independent of what it reports about a group.
@@ -184,9 +184,9 @@
   Timestamp last_heard(std::uint32_t group, const ReplicaIdentity& identity) const;
   bool is_silent(const NodeId& node) const;
   /// @return the report of the group's member at @p sender; null if there is none.
-  word* word_of(const PeerAddress& sender, std::uint32_t group);
+  member_report* report_of(const PeerAddress& sender, std::uint32_t group);
   /// @return the same if @p epoch is the current one; null otherwise.
-  word* word_at(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch);
+  member_report* report_at(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch);
   /// @return whether all members of @p group have reported that they vote at @p epoch. This is the common case, checked
   ///         for every answer.
   bool all_admitted(std::uint32_t group, std::uint64_t epoch) const;
@@ -202,7 +202,7 @@
   Timestamp last_question_{};
   std::vector<group_state> groups_;
   std::map<std::uint32_t, waiting_replica> waiting_;
-  std::map<NodeId, silence> silent_;
+  std::map<NodeId, request_activity> request_activities_;
   gone_disks gone_;
   Lifetime lifetime_;
 };
--- a/src/ledger/place_consents.cpp
+++ b/src/ledger/place_consents.cpp
@@ -96,7 +96,7 @@
   given_ = std::move(given);
   emptied_ = value_of(emptied) && value_of(emptied) == encode(1);
   restored_ = true;
-  if (stays_) {
+  if (disk_stays_) {
     keep_disk();
   }
   return Ok{};
@@ -136,13 +136,13 @@
 }
 
 void place_consents::note_emptied() {
-  stays_ = false;
+  disk_stays_ = false;
   emptied_ = true;
   store_emptied(true);
 }
 
 void place_consents::keep_disk() {
-  stays_ = true;
+  disk_stays_ = true;
   if (emptied_) {
     emptied_ = false;
     store_emptied(false);
--- a/src/ledger/place_consents.hpp
+++ b/src/ledger/place_consents.hpp
@@ -74,7 +74,7 @@
   bool restored_ = false;
   bool emptying_ = false;
   bool emptied_ = false;
-  bool stays_ = false;  ///< The disk is known not to be drained: a stored mark that it was drained is removed.
+  bool disk_stays_ = false;  ///< The disk is known not to be drained: a stored mark that it was drained is removed.
   bool stopping_ = false;
 };
 
--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -16,16 +16,16 @@
 /// Limit for the values in one answer to a replica that copies: answers to readers wait behind it.
 constexpr std::size_t kCopyPageBytes = 512 << 10;
 /// How long the answer to a scan is worth sending if the reader does not specify it.
-constexpr Duration kScanPatience = 4s;
-constexpr Duration kCopyRetry = 200ms;
-constexpr Duration kReadAgain = 1s;  ///< Delay before group states that could not be read are read again.
+constexpr Duration kDefaultScanTimeout = 4s;
+constexpr Duration kCopyRetryInterval = 200ms;
+constexpr Duration kStateRereadDelay = 1s;  ///< Delay before group states that could not be read are read again.
 /// A page that has not arrived is requested again after this time, which doubles with each further request.
-constexpr Duration kCopyPatience = 400ms;
-constexpr Duration kValuesPatience = 1s;  ///< The same for requests for values.
-constexpr Duration kMostCopyPatience = 3200ms;
-constexpr Duration kLeftValuesPatience = 2s;  ///< How long a source may leave values unsent that others offer as well.
+constexpr Duration kCopyReplyTimeout = 400ms;
+constexpr Duration kValuesReplyTimeout = 1s;  ///< The same for requests for values.
+constexpr Duration kMaxCopyReplyTimeout = 3200ms;
+constexpr Duration kUnsentValuesTimeout = 2s;  ///< How long a source may leave values unsent that others offer as well.
 /// Limit for outstanding pages over all groups of a replica that copies: 8 MB at most.
-constexpr std::size_t kMostCopiesAtOnce = 16;
+constexpr std::size_t kMaxOutstandingPages = 16;
 constexpr char kFirstCursor[] = "p:";  ///< Cursor at which a copy begins: the first promise.
 
 std::string group_prefix(char area, std::uint32_t group) {
@@ -42,24 +42,24 @@
 constexpr std::uint8_t kReturning = 1;
 constexpr std::uint8_t kHoldsLeaving = 2;
 constexpr std::uint8_t kWhole = 4;
-constexpr std::uint8_t kWholeBefore = 8;
-constexpr std::uint8_t kWholeLast = 16;
-constexpr unsigned kFirstFreshLeaverBit = 5;  ///< First of the bits for the first leaving members.
-constexpr unsigned kMostFreshLeavers = 3;
-constexpr std::uint8_t kFreshLeavers = 0xE0;
+constexpr std::uint8_t kWholeWithSameMembers = 8;
+constexpr std::uint8_t kWholeInPreviousEpoch = 16;
+constexpr unsigned kFirstRecentLeaverBit = 5;  ///< First of the bits for the first leaving members.
+constexpr unsigned kMaxRecentLeavers = 3;
+constexpr std::uint8_t kRecentLeaversMask = 0xE0;
 constexpr std::size_t kMarksBytes = 1 + sizeof(std::uint64_t);
 constexpr unsigned kByteBits = 8;
 
 /// @return the bit of the leaving member at @p position; zero if it has none.
-std::uint8_t fresh_leaver_bit(std::size_t position) {
-  return position < kMostFreshLeavers ? static_cast<std::uint8_t>(1U << (kFirstFreshLeaverBit + position)) : 0;
+std::uint8_t recent_leaver_bit(std::size_t position) {
+  return position < kMaxRecentLeavers ? static_cast<std::uint8_t>(1U << (kFirstRecentLeaverBit + position)) : 0;
 }
 
 /// @return the bits of the leaving members of @p now that were members of @p before.
-std::uint8_t fresh_leavers_of(const ReplicaGroup& now, const ReplicaGroup& before) {
+std::uint8_t recent_leavers_of(const ReplicaGroup& now, const ReplicaGroup& before) {
   std::uint8_t bits = 0;
   for (std::size_t position = 0; position < now.leaving.size(); ++position) {
-    bits |= before.index_of(now.leaving[position]) ? fresh_leaver_bit(position) : 0;
+    bits |= before.index_of(now.leaving[position]) ? recent_leaver_bit(position) : 0;
   }
   return bits;
 }
@@ -132,13 +132,13 @@
     return true;
   });
   const Status consents = consents_.restore();
-  groups_unread_ = !succeeded(read) || !succeeded(consents);
-  if (groups_unread_) {
+  group_list_unread_ = !succeeded(read) || !succeeded(consents);
+  if (group_list_unread_) {
     counters_["ledger_group_states_unreadable_total"]++;
     if (on_unreadable) {
       on_unreadable(std::nullopt, error_of(succeeded(read) ? consents : read));
     }
-    schedule_reading_again();
+    schedule_state_reread();
     return;
   }
   for (const std::uint32_t group : groups) {
@@ -160,8 +160,8 @@
   progress.index = *number;
   progress.former = *number >= progress.description.replicas.size();
   progress_[group] = std::move(progress);
-  asked_at_.try_emplace(group, environment_.now());
-  tell_epoch(group, progress_.at(group), progress_.at(group));
+  last_requested_at_.try_emplace(group, environment_.now());
+  report_epoch(group, progress_.at(group), progress_.at(group));
   start_copy(group);
 }
 
@@ -172,26 +172,26 @@
   if (first && on_unreadable) {
     on_unreadable(group, error);
   }
-  schedule_reading_again();
+  schedule_state_reread();
 }
 
-void Replica::schedule_reading_again() {
-  if (reading_again_) {
+void Replica::schedule_state_reread() {
+  if (reread_scheduled_) {
     return;
   }
-  reading_again_ = true;
-  environment_.after(kReadAgain, lifetime_.guard([this] {
-    reading_again_ = false;
-    read_again();
+  reread_scheduled_ = true;
+  environment_.after(kStateRereadDelay, lifetime_.guard([this] {
+    reread_scheduled_ = false;
+    reread_states();
   }));
 }
 
-void Replica::read_again() {
+void Replica::reread_states() {
   if (suspended_) {
     return;  // resume() reads everything again.
   }
   const std::map<std::uint32_t, ReplicaGroup> heard = std::exchange(unreadable_, {});
-  if (groups_unread_) {
+  if (group_list_unread_) {
     restore();
   } else {
     for (const auto& [group, description] : heard) {
@@ -209,7 +209,7 @@
   suspended_ = true;
   progress_.clear();
   unreadable_.clear();
-  groups_unread_ = false;
+  group_list_unread_ = false;
   consents_.forget();
 }
 
@@ -218,25 +218,25 @@
   restore();
 }
 
-void Replica::take_word(std::uint32_t group, const ReplicaGroup& description) {
-  GroupWord& word = words_[group];
-  if (description.epoch < word.epoch) {
+void Replica::note_latest_epoch(std::uint32_t group, const ReplicaGroup& description) {
+  LatestEpoch& latest = latest_epochs_[group];
+  if (description.epoch < latest.epoch) {
     return;
   }
-  word.epoch = description.epoch;
-  word.names_former_disk =
+  latest.epoch = description.epoch;
+  latest.names_former_disk =
       std::any_of(description.replicas.begin(), description.replicas.end(),
                   [this](const ReplicaIdentity& member) { return member.node == self_ && member.disk != disk_; });
 }
 
 void Replica::adopt_group(std::uint32_t group, const ReplicaGroup& description) {
-  take_word(group, description);
+  note_latest_epoch(group, description);
   if (suspended_) {
     return;
   }
   auto known = progress_.find(group);
   const bool first_sight = known == progress_.end();
-  if (groups_unread_ || unreadable_.contains(group)) {
+  if (group_list_unread_ || unreadable_.contains(group)) {
     ReplicaGroup& heard = unreadable_[group];
     heard = description.epoch > heard.epoch ? description : heard;
     return;
@@ -263,7 +263,7 @@
       on_epoch({group, progress.epoch, description, replica_role::left, copy_reason::none});
     }
     progress.description = before;
-    leave_place(group, std::move(progress));
+    leave_group(group, std::move(progress));
     return;
   }
   const bool was_former = progress.former;
@@ -280,16 +280,16 @@
       first_sight || !votes(progress) || !progress.whole || fewer || !progress.description.leaving.empty();
   const bool copies = lacks_something && guards_.admission_before_voting;
   progress_[group] = std::move(progress);
-  asked_at_.try_emplace(group, environment_.now());
+  last_requested_at_.try_emplace(group, environment_.now());
   if (later || first_sight) {
-    tell_epoch(group, progress_before, progress_.at(group));
+    report_epoch(group, progress_before, progress_.at(group));
   }
   if (copies) {
     start_copy(group);
   }
 }
 
-void Replica::leave_place(std::uint32_t group, GroupProgress progress) {
+void Replica::leave_group(std::uint32_t group, GroupProgress progress) {
   if (progress.synchronized && !progress.returning) {
     progress.returning = true;
     store_marks(group, progress);
@@ -316,13 +316,13 @@
       half_could_decide && !progress.holds_leaving && !progress.whole && !all_in(before.replicas, now.all());
   const bool copies_again = progress.returning || !followed || lacks_confirmed || was_former;
   const bool kept_all = followed && !progress.returning && !lacks_confirmed;
-  const bool was_whole = progress.whole || progress.whole_before;
+  const bool was_whole = progress.whole || progress.whole_with_same_members;
   // If a majority needs all members, nothing was confirmed without this one.
   const bool took_part_in_all = before.majority() == before.replicas.size();
   progress.whole = founding || (progress.whole && kept_all && took_part_in_all);
-  progress.whole_last = was_whole && kept_all;
-  progress.whole_before = progress.whole_last && before.replicas == now.replicas;
-  progress.fresh_leavers = followed ? fresh_leavers_of(now, before) : 0;
+  progress.whole_in_previous_epoch = was_whole && kept_all;
+  progress.whole_with_same_members = progress.whole_in_previous_epoch && before.replicas == now.replicas;
+  progress.recent_leavers = followed ? recent_leavers_of(now, before) : 0;
   progress.returning = progress.synchronized && copies_again && guards_.admission_before_voting;
   progress.awaits_flush = false;
   progress.epoch = now.epoch;
@@ -371,8 +371,8 @@
 std::vector<Replica::unasked> Replica::list_unasked(Timestamp before) const {
   std::vector<unasked> found;
   for (const auto& [group, progress] : progress_) {
-    const auto asked = asked_at_.find(group);
-    if (asked != asked_at_.end() && asked->second <= before) {
+    const auto asked = last_requested_at_.find(group);
+    if (asked != last_requested_at_.end() && asked->second <= before) {
       found.push_back({group, progress.epoch, asked->second});
     }
   }
@@ -380,7 +380,7 @@
 }
 
 void Replica::note_asked(std::uint32_t group) {
-  if (const auto entry = asked_at_.find(group); entry != asked_at_.end()) {
+  if (const auto entry = last_requested_at_.find(group); entry != last_requested_at_.end()) {
     entry->second = environment_.now();
   }
 }
@@ -523,10 +523,10 @@
 
 wire::Bytes Replica::encode_marks(const GroupProgress& progress) {
   wire::Bytes marks(kMarksBytes);
-  marks[0] =
-      static_cast<std::uint8_t>((progress.returning ? kReturning : 0) | (progress.holds_leaving ? kHoldsLeaving : 0) |
-                                (progress.whole ? kWhole : 0) | (progress.whole_before ? kWholeBefore : 0) |
-                                (progress.whole_last ? kWholeLast : 0) | progress.fresh_leavers);
+  marks[0] = static_cast<std::uint8_t>(
+      (progress.returning ? kReturning : 0) | (progress.holds_leaving ? kHoldsLeaving : 0) |
+      (progress.whole ? kWhole : 0) | (progress.whole_with_same_members ? kWholeWithSameMembers : 0) |
+      (progress.whole_in_previous_epoch ? kWholeInPreviousEpoch : 0) | progress.recent_leavers);
   for (std::size_t byte = 1; byte < kMarksBytes; ++byte) {
     marks[byte] = static_cast<std::uint8_t>(progress.epoch >> ((byte - 1) * kByteBits));
   }
@@ -555,9 +555,9 @@
   if (epoch == progress.epoch) {
     progress.holds_leaving = progress.holds_leaving || (marks[0] & kHoldsLeaving) != 0;
     progress.whole = (marks[0] & kWhole) != 0;
-    progress.whole_before = (marks[0] & kWholeBefore) != 0;
-    progress.whole_last = (marks[0] & kWholeLast) != 0;
-    progress.fresh_leavers = marks[0] & kFreshLeavers;
+    progress.whole_with_same_members = (marks[0] & kWholeWithSameMembers) != 0;
+    progress.whole_in_previous_epoch = (marks[0] & kWholeInPreviousEpoch) != 0;
+    progress.recent_leavers = marks[0] & kRecentLeaversMask;
   }
   return Ok{};
 }
@@ -660,7 +660,7 @@
   if (message.key == group_config_key(message.group, message.epoch + 1)) {
     reply.standing = standing(message.group, message.epoch);
     const GroupProgress& progress = progress_.at(message.group);
-    reply.whole = progress.whole || progress.whole_before;
+    reply.whole = progress.whole || progress.whole_with_same_members;
   }
   reply.accepted = to_wire(record->accepted);
   reply.value = record->value;
@@ -778,7 +778,8 @@
     return;
   }
   // A reader that has given up needs no answer, and other messages wait behind its values.
-  const Duration useful_for = message.patience_ms == 0 ? kScanPatience : std::chrono::milliseconds(message.patience_ms);
+  const Duration useful_for =
+      message.patience_ms == 0 ? kDefaultScanTimeout : std::chrono::milliseconds(message.patience_ms);
   const Timestamp useful_until = environment_.now() + useful_for;
   // A reader treats what a majority reports as chosen, so it has to be durable.
   when_durable([this, sender, useful_until, reply = std::move(reply)]() mutable {
@@ -818,18 +819,18 @@
   }
   const Timestamp now = environment_.now();
   const Duration waited = now - source.asked_at;
-  const auto heard = heard_of_sources_.find(address);
-  if (waited < source.patience || heard == heard_of_sources_.end()) {
-    return waited < source.patience;
+  const auto heard = source_activities_.find(address);
+  if (waited < source.reply_timeout || heard == source_activities_.end()) {
+    return waited < source.reply_timeout;
   }
   const source_activity& came = heard->second;
   const bool overtaken = (source.wanted.empty() ? came.ballots_asked_at : came.values_asked_at) > source.asked_at;
   // Pages of other groups show that the source is working: this request waits behind them, and so would another one.
-  return !overtaken && now - came.page_came_at < source.patience && waited < kMostCopyPatience;
+  return !overtaken && now - came.page_came_at < source.reply_timeout && waited < kMaxCopyReplyTimeout;
 }
 
 void Replica::note_page(const PeerAddress& address, const CopySource& source) {
-  source_activity& came = heard_of_sources_[address];
+  source_activity& came = source_activities_[address];
   came.page_came_at = environment_.now();
   (source.wanted.empty() ? came.ballots_asked_at : came.values_asked_at) = source.asked_at;
 }
@@ -854,14 +855,14 @@
     return source_of(left).asked_at < source_of(right).asked_at;
   });
   for (const auto& one : due) {
-    if (under_way >= kMostCopiesAtOnce) {
+    if (under_way >= kMaxOutstandingPages) {
       return;
     }
     ++under_way;
     CopySource& source = source_of(one);
     const bool again = source.asked_at.count() != 0;
-    const Duration first = source.wanted.empty() ? kCopyPatience : kValuesPatience;
-    source.patience = again ? std::min(source.patience * 2, kMostCopyPatience) : first;
+    const Duration first = source.wanted.empty() ? kCopyReplyTimeout : kValuesReplyTimeout;
+    source.reply_timeout = again ? std::min(source.reply_timeout * 2, kMaxCopyReplyTimeout) : first;
     const GroupProgress& progress = progress_.at(one.first);
     request_page(*addresses_(progress.description.source(one.second).node), one.first, progress, source);
   }
@@ -889,31 +890,31 @@
     return;
   }
   copy_retry_scheduled_ = true;
-  environment_.after(kCopyRetry, lifetime_.guard([this] {
+  environment_.after(kCopyRetryInterval, lifetime_.guard([this] {
     copy_retry_scheduled_ = false;
     bool unfinished = false;
     for (const auto& [group, progress] : progress_) {
       unfinished = unfinished || !progress.copying.empty();
     }
     if (unfinished) {
-      take_back_values();
-      ask_how_sources_stand();
+      reassign_overdue_values();
+      request_source_standings();
       request_copies();
       schedule_copy_retry();
     }
   }));
 }
 
-void Replica::take_back_values() {
+void Replica::reassign_overdue_values() {
   const Timestamp now = environment_.now();
   for (auto& [group, progress] : progress_) {
     for (auto& [number, silent] : progress.copying) {
-      if (silent.wanted.empty() || now - silent.values_since < kLeftValuesPatience) {
+      if (silent.wanted.empty() || now - silent.values_since < kUnsentValuesTimeout) {
         continue;
       }
       silent.wanted.clear();
       for (auto& [other, source] : progress.copying) {
-        if (source.left_to.contains(number)) {
+        if (source.deferred_to.contains(number)) {
           source = CopySource{kFirstCursor, false};
         }
       }
@@ -921,7 +922,7 @@
   }
 }
 
-void Replica::ask_how_sources_stand() {
+void Replica::request_source_standings() {
   for (const auto& [group, progress] : progress_) {
     if (progress.whole || progress.former) {
       continue;
@@ -1040,7 +1041,7 @@
     return;
   }
   if (source_entry->second.after != message.after) {
-    take_late_values(message.group, message);
+    merge_late_values(message.group, message);
     return;
   }
   if (message.status == wire::ReplicaStatus::NotReady) {
@@ -1059,21 +1060,21 @@
   CopySource& source = source_entry->second;
   note_page(sender, source);
   if (message.ballots_only != source.wanted.empty()) {
-    take_late_values(message.group, message);
+    merge_late_values(message.group, message);
     return;
   }
   note_standing(source, message);
   note_page(message.group, progress.description.source(message.replica), message);
   if (message.ballots_only) {
-    take_ballots(message.group, source, message);
-  } else if (const values_taken taken = take_values(message.group, source, message);
-             taken == values_taken::lost_there) {
+    process_ballots(message.group, source, message);
+  } else if (const values_result taken = process_values(message.group, source, message);
+             taken == values_result::lost_at_source) {
     // The value has been damaged at the source since it was offered. It may not have been requested from others because
     // of this source, so the copy restarts from all sources.
     counters_["ledger_copies_restarted_total"]++;
     start_copy(message.group);
     return;
-  } else if (taken == values_taken::known) {
+  } else if (taken == values_result::known) {
     return;  // Second answer to a page that was requested twice: the next request has been sent already.
   }
   source.values_since = environment_.now();
@@ -1089,7 +1090,7 @@
     request_copies();
     return;
   }
-  source.patience = source.wanted.empty() ? kCopyPatience : kValuesPatience;
+  source.reply_timeout = source.wanted.empty() ? kCopyReplyTimeout : kValuesReplyTimeout;
   request_page(sender, message.group, progress, source);
 }
 
@@ -1101,7 +1102,7 @@
   }
 }
 
-void Replica::take_ballots(std::uint32_t group, CopySource& source, const wire::CopyReplyT& page) {
+void Replica::process_ballots(std::uint32_t group, CopySource& source, const wire::CopyReplyT& page) {
   const std::string area = page.after.substr(0, 2);
   const bool promises = area == "p:";
   for (const auto& record : page.records) {
@@ -1120,7 +1121,7 @@
       continue;
     }
     if (const auto other = awaited_from(progress_.at(group), record->key, there)) {
-      source.left_to.insert(*other);
+      source.deferred_to.insert(*other);
     } else {
       source.wanted.emplace(record->key, there);
     }
@@ -1142,7 +1143,7 @@
   return source == progress.copying.end() ? std::nullopt : std::optional(source->first);
 }
 
-void Replica::take_late_values(std::uint32_t group, const wire::CopyReplyT& values) {
+void Replica::merge_late_values(std::uint32_t group, const wire::CopyReplyT& values) {
   const GroupProgress& progress = progress_.at(group);
   const bool votes = progress.synchronized && !progress.returning;
   if (votes || values.status != wire::ReplicaStatus::Granted || values.ballots_only) {
@@ -1153,17 +1154,18 @@
   }
 }
 
-Replica::values_taken Replica::take_values(std::uint32_t group, CopySource& source, const wire::CopyReplyT& values) {
-  values_taken taken = values_taken::known;
+Replica::values_result Replica::process_values(std::uint32_t group, CopySource& source,
+                                               const wire::CopyReplyT& values) {
+  values_result taken = values_result::known;
   for (const auto& record : values.records) {
     const auto wanted = source.wanted.find(record->key);
     if (wanted != source.wanted.end() && from_wire(record->accepted) < wanted->second) {
-      return values_taken::lost_there;
+      return values_result::lost_at_source;
     }
     merge_value(group, *record);
     if (wanted != source.wanted.end()) {
       source.wanted.erase(wanted);
-      taken = values_taken::wanted;
+      taken = values_result::wanted;
     }
   }
   return taken;
@@ -1176,7 +1178,7 @@
 }
 
 bool Replica::holds_all_of(const GroupProgress& progress, const CopySource& source) {
-  return source.complete && std::all_of(source.left_to.begin(), source.left_to.end(), [&](std::uint32_t other) {
+  return source.complete && std::all_of(source.deferred_to.begin(), source.deferred_to.end(), [&](std::uint32_t other) {
            return progress.copying.contains(other) && progress.copying.at(other).complete;
          });
 }
@@ -1186,13 +1188,13 @@
                      [&](const auto& entry) { return entry.second.whole && holds_all_of(progress, entry.second); });
 }
 
-std::size_t Replica::admitted_copied_from(const GroupProgress& progress, bool fresh_leavers) {
+std::size_t Replica::admitted_copied_from(const GroupProgress& progress, bool recent_leavers) {
   const auto counts = [&](const auto& entry) {
     const std::size_t members = progress.description.replicas.size();
     const bool member = entry.first < members;
-    const bool fresh_leaver =
-        fresh_leavers && !member && (fresh_leaver_bit(entry.first - members) & progress.fresh_leavers) != 0;
-    return entry.second.votes && (member || fresh_leaver) && holds_all_of(progress, entry.second);
+    const bool recent_leaver =
+        recent_leavers && !member && (recent_leaver_bit(entry.first - members) & progress.recent_leavers) != 0;
+    return entry.second.votes && (member || recent_leaver) && holds_all_of(progress, entry.second);
   };
   return static_cast<std::size_t>(std::count_if(progress.copying.begin(), progress.copying.end(), counts));
 }
@@ -1203,7 +1205,7 @@
   if (copied_from_whole(progress)) {
     return true;
   }
-  if (all_members && (holds_leaving || progress.whole_last)) {
+  if (all_members && (holds_leaving || progress.whole_in_previous_epoch)) {
     return true;
   }
   return votes(progress) ? 1 + admitted_copied_from(progress, true) >= majority
@@ -1281,7 +1283,7 @@
   }
   if (admitted) {
     counters_["ledger_replicas_admitted_total"]++;
-    tell_admission(group);
+    announce_admission(group);
     if (on_admitted) {
       on_admitted(group, progress.epoch);
     }
@@ -1289,7 +1291,7 @@
   }
 }
 
-void Replica::tell_admission(std::uint32_t group) {
+void Replica::announce_admission(std::uint32_t group) {
   const GroupProgress& progress = progress_.at(group);
   for (const ReplicaIdentity& member : progress.description.replicas) {
     const auto address = is(member) ? std::nullopt : addresses_(member.node);
@@ -1328,7 +1330,7 @@
   return progress.epoch == before.epoch + 1 ? copy_reason::members_not_covered : copy_reason::epochs_missed;
 }
 
-void Replica::tell_epoch(std::uint32_t group, const GroupProgress& before, const GroupProgress& progress) const {
+void Replica::report_epoch(std::uint32_t group, const GroupProgress& before, const GroupProgress& progress) const {
   if (on_epoch) {
     on_epoch({group, before.epoch, progress.description, role_of(progress), reason_of(before, progress)});
   }
@@ -1441,7 +1443,7 @@
 }
 
 wire::PlaceConsent Replica::answer_place(const place_offer& offer) {
-  const bool readable = !suspended_ && !groups_unread_ && unreadable_.empty();
+  const bool readable = !suspended_ && !group_list_unread_ && unreadable_.empty();
   return readable ? consents_.answer(offer, {self_, disk_}, known_epoch(offer.group)) : wire::PlaceConsent::NotReady;
 }
 
@@ -1489,9 +1491,9 @@
 
 std::vector<pending_handover> Replica::pending_handovers(std::size_t least_copies) const {
   std::vector<pending_handover> pending;
-  for (const auto& [group, word] : words_) {
-    if (word.names_former_disk) {
-      pending.push_back({group, word.epoch, 0, least_copies, true});
+  for (const auto& [group, latest] : latest_epochs_) {
+    if (latest.names_former_disk) {
+      pending.push_back({group, latest.epoch, 0, least_copies, true});
     }
   }
   for (const auto& [group, progress] : progress_) {
@@ -1505,16 +1507,16 @@
 }
 
 bool Replica::left_all_groups(std::size_t least_copies) const {
-  const bool knows_groups = !words_.empty() || !progress_.empty();
-  const bool all_read = !suspended_ && !groups_unread_ && unreadable_.empty();
+  const bool knows_groups = !latest_epochs_.empty() || !progress_.empty();
+  const bool all_read = !suspended_ && !group_list_unread_ && unreadable_.empty();
   const bool named_nowhere = open_places().empty() || !guards_.open_places_hold;
   return all_read && knows_groups && named_nowhere && pending_handovers(least_copies).empty();
 }
 
 std::uint64_t Replica::known_epoch(std::uint32_t group) const {
-  const auto word = words_.find(group);
+  const auto latest = latest_epochs_.find(group);
   const auto progress = progress_.find(group);
-  return std::max(word == words_.end() ? 0 : word->second.epoch,
+  return std::max(latest == latest_epochs_.end() ? 0 : latest->second.epoch,
                   progress == progress_.end() ? 0 : progress->second.epoch);
 }
 
--- a/src/ledger/replica.hpp
+++ b/src/ledger/replica.hpp
@@ -137,14 +137,15 @@
     std::string after;
     bool complete = false;
     Timestamp asked_at{};                  ///< When the current page was last requested; zero: not yet.
-    Duration patience{};                   ///< How long to wait for its answer before the page is requested again.
+    Duration reply_timeout{};              ///< How long to wait for its answer before the page is requested again.
     std::map<std::string, Ballot> wanted;  ///< Records of the current page of which the source has a later version.
     std::string next_after;      ///< Cursor of the next page once these records are here; empty: the copy is complete.
     bool holds_leaving = false;  ///< The source held all records of the leaving members before this copy began.
     bool votes = false;          ///< The source was admitted when this copy began.
     bool whole = false;          ///< The source was whole when this copy began.
     Timestamp values_since{};    ///< When the source last sent something while values were wanted.
-    std::set<std::uint32_t> left_to;  ///< Other sources from which values are awaited that this source also offered.
+    std::set<std::uint32_t>
+        deferred_to;          ///< Other sources from which values are awaited that this source also offered.
     bool copy_again = false;  ///< Once this copy is complete, it restarts because the source holds all records of the
                               ///< leaving members by now.
   };
@@ -175,18 +176,18 @@
     bool holds_leaving = true;  ///< All records of this epoch's leaving members are here.
     bool whole = false;         ///< Every record that was confirmed before this epoch is here.
     /// It was whole in an earlier epoch with the same members: it lacks at most what the others have confirmed since.
-    bool whole_before = false;
-    bool whole_last = false;  ///< It was whole in the previous epoch, whoever its members were.
+    bool whole_with_same_members = false;
+    bool whole_in_previous_epoch = false;  ///< It was whole in the previous epoch, whoever its members were.
     ReplicaGroup description;
     /// Bit set of the leaving members that were members in the previous epoch; it covers the first three leaving
     /// members.
-    std::uint8_t fresh_leavers = 0;
+    std::uint8_t recent_leavers = 0;
     bool awaits_flush = false;                    ///< A copy is complete, but not durable yet.
     std::map<std::uint32_t, CopySource> copying;  ///< By source number.
     handover_progress handover;                   ///< Used by a former member.
   };
   /// The latest epoch known of a group, whether or not it names this disk.
-  struct GroupWord {
+  struct LatestEpoch {
     std::uint64_t epoch = 0;
     bool names_former_disk = false;  ///< It names this node with another disk.
   };
@@ -197,7 +198,7 @@
     std::size_t stored_bytes = 0;  ///< Size of the accepted value as stored.
   };
 
-  void take_word(std::uint32_t group, const ReplicaGroup& description);
+  void note_latest_epoch(std::uint32_t group, const ReplicaGroup& description);
   wire::ReplicaStatus admit(std::uint32_t group, std::uint64_t epoch, bool for_copy = false) const;
   /// The same for one record. A member votes at once on the next description of its group, whatever it holds, because
   /// that record begins with the epoch that names the member.
@@ -225,14 +226,14 @@
   void restore_group(std::uint32_t group);
   /// Excludes the group until its state can be read. @p heard is the latest description received, if any.
   void note_unreadable(std::uint32_t group, const Error& error, const ReplicaGroup& heard);
-  void schedule_reading_again();
-  void read_again();
+  void schedule_state_reread();
+  void reread_states();
   /// Stores the marks, which are kept in a separate record because earlier versions do not know them.
   void store_marks(std::uint32_t group, const GroupProgress& progress);
   static wire::Bytes encode_marks(const GroupProgress& progress);
   Status restore_marks(std::uint32_t group, GroupProgress& progress) const;
   /// Records on the disk that its place in @p group now belongs to another disk.
-  void leave_place(std::uint32_t group, GroupProgress progress);
+  void leave_group(std::uint32_t group, GroupProgress progress);
   /// Moves @p progress from the epoch of @p before to the later epoch of its present description.
   /// @param was_former whether the replica was no longer a member in the earlier epoch
   void enter_epoch(std::uint32_t group, GroupProgress& progress, const ReplicaGroup& before, bool was_former);
@@ -240,7 +241,7 @@
   void note_copy_begun(std::uint32_t group);
   void note_page(std::uint32_t group, const ReplicaIdentity& source, const wire::CopyReplyT& page);
   /// Calls on_epoch for the change from @p before to @p progress in @p group.
-  void tell_epoch(std::uint32_t group, const GroupProgress& before, const GroupProgress& progress) const;
+  void report_epoch(std::uint32_t group, const GroupProgress& before, const GroupProgress& progress) const;
   static replica_role role_of(const GroupProgress& progress);
   static copy_reason reason_of(const GroupProgress& before, const GroupProgress& progress);
   /// Adds the standing of this replica to a refusal.
@@ -255,7 +256,7 @@
   void schedule_copy_retry();
   /// Asks members that were copied from whether they have become whole and hold all records of the leaving members by
   /// now.
-  void ask_how_sources_stand();
+  void request_source_standings();
   /// Restarts the copy from a source that holds all records of the leaving members.
   static void copy_from_start(CopySource& source);
   /// Records that the given member holds all records of the leaving members; it is copied from once more after the copy
@@ -268,16 +269,16 @@
   /// Records the standing of the source of @p page.
   static void note_standing(CopySource& source, const wire::CopyReplyT& page);
   /// Processes a page of ballots: promises are merged, records with newer values are added to the wanted ones.
-  void take_ballots(std::uint32_t group, CopySource& source, const wire::CopyReplyT& page);
+  void process_ballots(std::uint32_t group, CopySource& source, const wire::CopyReplyT& page);
   /// Stores the values of a late answer as long as this disk does not vote.
-  void take_late_values(std::uint32_t group, const wire::CopyReplyT& values);
+  void merge_late_values(std::uint32_t group, const wire::CopyReplyT& values);
   /// Result of processing values from a source.
-  enum class values_taken {
-    wanted,      ///< At least one of the values was wanted.
-    known,       ///< None of the values was wanted.
-    lost_there,  ///< The source no longer has a value that it offered.
+  enum class values_result {
+    wanted,          ///< At least one of the values was wanted.
+    known,           ///< None of the values was wanted.
+    lost_at_source,  ///< The source no longer has a value that it offered.
   };
-  values_taken take_values(std::uint32_t group, CopySource& source, const wire::CopyReplyT& values);
+  values_result process_values(std::uint32_t group, CopySource& source, const wire::CopyReplyT& values);
   /// @return the member that has to be copied from in any case and from which this value is being requested.
   static std::optional<std::uint32_t> awaited_from(const GroupProgress& progress, const std::string& key,
                                                    const Ballot& ballot);
@@ -291,7 +292,7 @@
   ///         either.
   wire::PlaceConsent answer_alone(const place_offer& offer) const;
   /// Notifies the other members that this disk votes from now on.
-  void tell_admission(std::uint32_t group);
+  void announce_admission(std::uint32_t group);
   /// @return whether the copies from all member sources, or from all leaving ones, are complete.
   static bool copied_from(const GroupProgress& progress, bool leaving);
   /// @return whether everything that @p source offered is stored here.
@@ -299,8 +300,8 @@
   /// @return whether the copy from a source that was whole is complete.
   static bool copied_from_whole(const GroupProgress& progress);
   /// @return the number of admitted sources from which the copy is complete.
-  /// @param fresh_leavers whether leaving members count that were members in the previous epoch
-  static std::size_t admitted_copied_from(const GroupProgress& progress, bool fresh_leavers);
+  /// @param recent_leavers whether leaving members count that were members in the previous epoch
+  static std::size_t admitted_copied_from(const GroupProgress& progress, bool recent_leavers);
   /// @return whether the completed copies contain every record that was confirmed before the epoch.
   /// @param holds_leaving whether they contain all records of the leaving members
   static bool has_copied_all(const GroupProgress& progress, bool holds_leaving);
@@ -316,7 +317,7 @@
   /// Ends the copy if nothing is left to copy.
   static void end_copy_if_complete(GroupProgress& progress);
   /// Reassigns values that a source has not sent for long to the other sources.
-  void take_back_values();
+  void reassign_overdue_values();
   /// Records that a source has become whole; it is copied from once more.
   void note_whole(std::uint32_t group, std::uint32_t number);
   /// @return ErrorKind::corrupted or ErrorKind::unavailable if reading the disk fails.
@@ -356,17 +357,17 @@
   const ReplicaGuards guards_;
   std::map<std::uint32_t, GroupProgress> progress_;
   std::map<std::uint32_t, Timestamp>
-      asked_at_;  ///< When records of each group were last requested, whatever was answered.
-  std::map<std::uint32_t, GroupWord> words_;
+      last_requested_at_;  ///< When records of each group were last requested, whatever was answered.
+  std::map<std::uint32_t, LatestEpoch> latest_epochs_;
   place_consents consents_;
   bool suspended_ = false;
   std::map<std::uint32_t, ReplicaGroup>
-      unreadable_;              ///< Groups that are left out, with the latest description received.
-  bool groups_unread_ = false;  ///< The list of the groups on the disk could not be read.
-  bool reading_again_ = false;
+      unreadable_;                  ///< Groups that are left out, with the latest description received.
+  bool group_list_unread_ = false;  ///< The list of the groups on the disk could not be read.
+  bool reread_scheduled_ = false;
   std::map<std::uint32_t, copy_progress> copies_;  ///< The latest copy of each group.
   bool copy_retry_scheduled_ = false;
-  std::map<PeerAddress, source_activity> heard_of_sources_;
+  std::map<PeerAddress, source_activity> source_activities_;
   Lifetime lifetime_;
 };
 
--- a/src/ledger/replica_journal.cpp
+++ b/src/ledger/replica_journal.cpp
@@ -8,11 +8,11 @@
 
 constexpr Duration kLook = 1s;
 /// Interval between log lines about a copy; it doubles while nothing arrives.
-constexpr Duration kBetweenLines = 5s;
-constexpr Duration kMostBetweenLines = 80s;
+constexpr Duration kCopyReportInterval = 5s;
+constexpr Duration kMaxCopyReportInterval = 80s;
 /// Nodes that need a group's records retry within some seconds.
-constexpr Duration kUnaskedAfter = 10s;
-constexpr Duration kMostUnaskedPause = 640s;
+constexpr Duration kUnaskedReportDelay = 10s;
+constexpr Duration kMaxUnaskedReportPause = 640s;
 constexpr std::size_t kMostUnaskedNamed = 8;
 
 }  // namespace
@@ -21,23 +21,23 @@
     : environment_(environment), log_(log), replica_(replica) {}
 
 void replica_journal::start() {
-  replica_.on_epoch = [this](const epoch_step& step) { tell_epoch(step); };
-  replica_.on_copy_begun = [this](std::uint32_t group, std::uint64_t epoch) { tell_begun(group, epoch); };
+  replica_.on_epoch = [this](const epoch_step& step) { report_epoch(step); };
+  replica_.on_copy_begun = [this](std::uint32_t group, std::uint64_t epoch) { report_copy_begun(group, epoch); };
   replica_.on_unreadable = [this](std::optional<std::uint32_t> group, const Error& error) {
     log_.record("group_state_unreadable", {{"group", group ? std::to_string(*group) : "all"},
                                            {"error", error_kind_name(error.kind)},
                                            {"detail", error.detail}});
   };
-  replica_.on_admitted = [this](std::uint32_t group, std::uint64_t epoch) { tell_admitted(group, epoch); };
+  replica_.on_admitted = [this](std::uint32_t group, std::uint64_t epoch) { report_admitted(group, epoch); };
   replica_.on_place_answered = [this](const place_offer& offer, wire::PlaceConsent answer) {
-    tell_place_answered(offer, answer);
+    report_place_answered(offer, answer);
   };
-  look_at_unasked();
+  report_unasked_groups();
 }
 
-void replica_journal::tell_place_answered(const place_offer& offer, wire::PlaceConsent answer) {
+void replica_journal::report_place_answered(const place_offer& offer, wire::PlaceConsent answer) {
   const auto told = std::pair(offer.epoch, answer);
-  if (std::exchange(told_places_[offer.group], told) == told) {
+  if (std::exchange(reported_places_[offer.group], told) == told) {
     return;
   }
   log_.record("place_answered", {{"group", offer.group},
@@ -48,7 +48,7 @@
                                  {"gives_up", offer.gives_up ? text_of(*offer.gives_up) : ""}});
 }
 
-void replica_journal::tell_epoch(const epoch_step& step) {
+void replica_journal::report_epoch(const epoch_step& step) {
   const bool at_start = step.from_epoch == step.description.epoch;
   log_.record(at_start ? "epoch_restored" : "epoch_adopted", {{"group", step.group},
                                                               {"from_epoch", step.from_epoch},
@@ -59,11 +59,11 @@
                                                               {"leaving", text_of(step.description.leaving)}});
 }
 
-void replica_journal::tell_begun(std::uint32_t group, std::uint64_t epoch) {
+void replica_journal::report_copy_begun(std::uint32_t group, std::uint64_t epoch) {
   const copy_progress& copy = *replica_.copy_of(group);
-  told_copy& told = copies_[group];
+  reported_copy& told = copies_[group];
   if (told.began_at != copy.began_at || told.pause.count() == 0) {
-    told = {copy.began_at, environment_.now() + kBetweenLines, kBetweenLines, 0};
+    told = {copy.began_at, environment_.now() + kCopyReportInterval, kCopyReportInterval, 0};
     std::vector<ReplicaIdentity> sources;
     for (const awaited_source& source : replica_.awaited_sources(group)) {
       sources.push_back(source.identity);
@@ -73,10 +73,10 @@
       log_.record("replica_copy_begun", {{"group", group}, {"epoch", epoch}, {"sources", text_of(sources)}});
     }
   }
-  schedule_look();
+  schedule_copy_report();
 }
 
-void replica_journal::tell_admitted(std::uint32_t group, std::uint64_t epoch) {
+void replica_journal::report_admitted(std::uint32_t group, std::uint64_t epoch) {
   const copy_progress* copy = replica_.copy_of(group);
   const source_progress total = copy == nullptr ? source_progress{} : copy->total();
   const Duration took = copy == nullptr ? Duration{} : environment_.now() - copy->began_at;
@@ -89,16 +89,16 @@
                                    {"restarts", copy == nullptr ? 0 : copy->restarts}});
 }
 
-void replica_journal::look_at_unasked() {
-  environment_.after(kLook, lifetime_.guard([this] { look_at_unasked(); }));
+void replica_journal::report_unasked_groups() {
+  environment_.after(kLook, lifetime_.guard([this] { report_unasked_groups(); }));
   const Timestamp now = environment_.now();
-  const std::vector<Replica::unasked> unasked = replica_.list_unasked(now - kUnaskedAfter);
+  const std::vector<Replica::unasked> unasked = replica_.list_unasked(now - kUnaskedReportDelay);
   if (unasked.empty()) {
     unasked_pause_ = Duration::zero();
-    tell_unasked_at_ = Timestamp{};
+    next_unasked_report_at_ = Timestamp{};
     return;
   }
-  if (now < tell_unasked_at_) {
+  if (now < next_unasked_report_at_) {
     return;
   }
   std::string named;
@@ -108,40 +108,41 @@
              std::to_string(one.epoch) + " for " + std::to_string((now - one.since) / 1ms) + " ms";
   }
   log_.record("replica_unasked", {{"groups", unasked.size()}, {"unasked", named}});
-  unasked_pause_ = unasked_pause_.count() == 0 ? kUnaskedAfter : std::min(unasked_pause_ * 2, kMostUnaskedPause);
-  tell_unasked_at_ = now + unasked_pause_;
+  unasked_pause_ =
+      unasked_pause_.count() == 0 ? kUnaskedReportDelay : std::min(unasked_pause_ * 2, kMaxUnaskedReportPause);
+  next_unasked_report_at_ = now + unasked_pause_;
 }
 
-void replica_journal::schedule_look() {
-  if (look_scheduled_) {
+void replica_journal::schedule_copy_report() {
+  if (copy_report_scheduled_) {
     return;
   }
-  look_scheduled_ = true;
+  copy_report_scheduled_ = true;
   environment_.after(kLook, lifetime_.guard([this] {
-    look_scheduled_ = false;
-    look_at_copies();
+    copy_report_scheduled_ = false;
+    report_due_copies();
   }));
 }
 
-void replica_journal::look_at_copies() {
+void replica_journal::report_due_copies() {
   std::erase_if(copies_, [this](const auto& entry) { return replica_.awaited_sources(entry.first).empty(); });
   for (auto& [group, told] : copies_) {
     const copy_progress* copy = replica_.copy_of(group);
-    if (copy == nullptr || environment_.now() < told.tell_at) {
+    if (copy == nullptr || environment_.now() < told.next_report_at) {
       continue;
     }
-    tell_progress(group, *copy);
+    report_progress(group, *copy);
     const std::uint64_t pages = copy->total().pages;
-    told.pause = pages != told.pages ? kBetweenLines : std::min(told.pause * 2, kMostBetweenLines);
+    told.pause = pages != told.pages ? kCopyReportInterval : std::min(told.pause * 2, kMaxCopyReportInterval);
     told.pages = pages;
-    told.tell_at = environment_.now() + told.pause;
+    told.next_report_at = environment_.now() + told.pause;
   }
   if (!copies_.empty()) {
-    schedule_look();
+    schedule_copy_report();
   }
 }
 
-void replica_journal::tell_progress(std::uint32_t group, const copy_progress& copy) {
+void replica_journal::report_progress(std::uint32_t group, const copy_progress& copy) {
   const source_progress total = copy.total();
   log_.record("replica_copying", {{"group", group},
                                   {"to_vote", copy.to_vote},
--- a/src/ledger/replica_journal.hpp
+++ b/src/ledger/replica_journal.hpp
@@ -22,36 +22,36 @@
 
  private:
   /// A copy whose progress is being logged.
-  struct told_copy {
-    Timestamp began_at{};     ///< Identifies the copy.
-    Timestamp tell_at{};      ///< When the next line is due.
-    Duration pause{};         ///< Interval between the latest line and the next one.
-    std::uint64_t pages = 0;  ///< Number of pages received by the time of the latest line.
+  struct reported_copy {
+    Timestamp began_at{};        ///< Identifies the copy.
+    Timestamp next_report_at{};  ///< When the next line is due.
+    Duration pause{};            ///< Interval between the latest line and the next one.
+    std::uint64_t pages = 0;     ///< Number of pages received by the time of the latest line.
   };
 
-  void tell_epoch(const epoch_step& step);
-  void tell_begun(std::uint32_t group, std::uint64_t epoch);
-  void tell_admitted(std::uint32_t group, std::uint64_t epoch);
+  void report_epoch(const epoch_step& step);
+  void report_copy_begun(std::uint32_t group, std::uint64_t epoch);
+  void report_admitted(std::uint32_t group, std::uint64_t epoch);
   /// Logs an answer that differs from the previous one for the same group, since offers are repeated.
-  void tell_place_answered(const place_offer& offer, wire::PlaceConsent answer);
-  void tell_progress(std::uint32_t group, const copy_progress& copy);
+  void report_place_answered(const place_offer& offer, wire::PlaceConsent answer);
+  void report_progress(std::uint32_t group, const copy_progress& copy);
   /// Logs the progress of the copies whose lines are due, and schedules the next check while there are copies.
-  void look_at_copies();
-  void schedule_look();
+  void report_due_copies();
+  void schedule_copy_report();
   /// Logs the groups of this disk that receive no requests, at increasing intervals.
-  void look_at_unasked();
+  void report_unasked_groups();
   /// @return for each source what has been received from it, and for how long its next page has been pending.
   std::string describe_sources(std::uint32_t group, const copy_progress& copy) const;
 
   Environment& environment_;
   DecisionLog& log_;
   Replica& replica_;
-  std::map<std::uint32_t, told_copy> copies_;
+  std::map<std::uint32_t, reported_copy> copies_;
   /// The epoch and the latest answer to the offer of a place, by group.
-  std::map<std::uint32_t, std::pair<std::uint64_t, wire::PlaceConsent>> told_places_;
-  bool look_scheduled_ = false;
-  Timestamp tell_unasked_at_{};  ///< Earliest time of the next line; zero: none was logged since a group last received
-                                 ///< a request.
+  std::map<std::uint32_t, std::pair<std::uint64_t, wire::PlaceConsent>> reported_places_;
+  bool copy_report_scheduled_ = false;
+  Timestamp next_unasked_report_at_{};  ///< Earliest time of the next line; zero: none was logged since a group last
+                                        ///< received a request.
   Duration unasked_pause_{};
   Lifetime lifetime_;
 };
--- a/src/ledger/rocksdb_disk.cpp
+++ b/src/ledger/rocksdb_disk.cpp
@@ -20,7 +20,7 @@
 constexpr char kIdentityKey[] = "disk/identity";
 /// Prefix of group states, which a replica writes before any record.
 constexpr char kGroupStates[] = "g/";
-constexpr std::size_t kMostIdentityBytes = 256;
+constexpr std::size_t kMaxIdentityBytes = 256;
 
 /// A file descriptor that is closed at the end of its scope.
 class Descriptor {
@@ -85,7 +85,7 @@
   if (!file.is_open() && errno == ENOENT) {
     return std::optional<std::string>();
   }
-  std::array<char, kMostIdentityBytes> bytes;
+  std::array<char, kMaxIdentityBytes> bytes;
   const ssize_t size = file.is_open() ? file.read(bytes.data(), bytes.size()) : -1;
   if (size < 0) {
     return Error{ErrorKind::unavailable, "cannot read " + path + ": " + std::strerror(errno)};
@@ -106,7 +106,7 @@
   bool holds_records = false;  ///< Any key other than the identity.
 };
 
-Result<FolderContents> look_into(const RocksDbStorage& storage, std::optional<std::string> in_file) {
+Result<FolderContents> inspect_contents(const RocksDbStorage& storage, std::optional<std::string> in_file) {
   FolderContents found;
   found.in_file = std::move(in_file);
   const auto identity = storage.get(kIdentityKey);
@@ -129,7 +129,7 @@
   return found;
 }
 
-NewIdentityReason why_new(const FolderContents& found) {
+NewIdentityReason new_identity_reason(const FolderContents& found) {
   if (found.in_records) {
     const bool agree = !found.in_file || *found.in_file == *found.in_records;
     return agree ? NewIdentityReason::none : NewIdentityReason::records_of_another_disk;
@@ -182,7 +182,7 @@
 }
 
 /// Writes the identity to the database first and then to the file, so that a file implies that a database existed.
-Status keep_identity(const std::string& folder, const FolderContents& found, const OpenedDisk& disk) {
+Status store_identity(const std::string& folder, const FolderContents& found, const OpenedDisk& disk) {
   if (found.in_records != disk.identity) {
     if (const Status kept = disk.storage->put_synced(kIdentityKey, disk.identity); !succeeded(kept)) {
       return kept;
@@ -230,7 +230,7 @@
   if (!succeeded(storage)) {
     return error_of(storage);
   }
-  const auto contents = look_into(*value_of(storage), std::move(value_of(in_file)));
+  const auto contents = inspect_contents(*value_of(storage), std::move(value_of(in_file)));
   if (!succeeded(contents)) {
     return error_of(contents);
   }
@@ -238,7 +238,7 @@
   OpenedDisk disk;
   disk.log_bytes = log_bytes;
   disk.storage = std::move(value_of(storage));
-  disk.reason = why_new(found);
+  disk.reason = new_identity_reason(found);
   if (disk.reason == NewIdentityReason::none) {
     disk.identity = found.in_records ? *found.in_records : *found.in_file;
     disk.identity_file_made = !found.in_file;
@@ -251,7 +251,7 @@
       return error_of(replaced);
     }
   }
-  if (const Status kept = keep_identity(folder, found, disk); !succeeded(kept)) {
+  if (const Status kept = store_identity(folder, found, disk); !succeeded(kept)) {
     return error_of(kept);
   }
   return disk;
--- a/src/ledger/rocksdb_disk_opener.cpp
+++ b/src/ledger/rocksdb_disk_opener.cpp
@@ -12,7 +12,7 @@
 }
 
 /// State of the first attempt, shared by both threads.
-struct disk_opener::First {
+struct disk_opener::FirstAttempt {
   enum class State { under_way, ended, left_to_hooks };
   std::optional<Result<OpenedDisk>> outcome;
   std::promise<void> ended;
@@ -24,14 +24,14 @@
       random_(random),
       executors_(std::move(executors)),
       hooks_(std::move(hooks)),
-      first_(std::make_shared<First>()),
-      pause_(kReopenAfter) {}
+      first_(std::make_shared<FirstAttempt>()),
+      pause_(kReopenDelay) {}
 
 void disk_opener::begin() {
   executors_.background([this] {
-    First& first = *first_;
+    FirstAttempt& first = *first_;
     first.outcome = open_disk(folder_, random_, executors_);
-    if (first.state.exchange(First::State::ended) == First::State::left_to_hooks) {
+    if (first.state.exchange(FirstAttempt::State::ended) == FirstAttempt::State::left_to_hooks) {
       executors_.owner([this] { finish(std::move(*first_->outcome)); });
       return;
     }
@@ -40,10 +40,10 @@
 }
 
 std::optional<Result<OpenedDisk>> disk_opener::wait(Duration patience) {
-  First& first = *first_;
+  FirstAttempt& first = *first_;
   std::future<void> ended = first.ended.get_future();
   const bool is_late = ended.wait_for(patience) != std::future_status::ready;
-  if (is_late && first.state.exchange(First::State::left_to_hooks) == First::State::under_way) {
+  if (is_late && first.state.exchange(FirstAttempt::State::left_to_hooks) == FirstAttempt::State::under_way) {
     return std::nullopt;
   }
   ended.wait();
@@ -54,7 +54,7 @@
 
 void disk_opener::schedule() {
   executors_.after(pause_, [this] { attempt(); });
-  pause_ = std::min(pause_ * 2, kMostReopenAfter);
+  pause_ = std::min(pause_ * 2, kMaxReopenDelay);
 }
 
 void disk_opener::attempt() {
--- a/src/ledger/rocksdb_disk_opener.hpp
+++ b/src/ledger/rocksdb_disk_opener.hpp
@@ -38,7 +38,7 @@
   void try_again();
 
  private:
-  struct First;
+  struct FirstAttempt;
   void schedule();
   void attempt();
   void finish(Result<OpenedDisk> opened);
@@ -47,7 +47,7 @@
   const std::uint64_t random_;
   const Executors executors_;
   const disk_opener_hooks hooks_;
-  const std::shared_ptr<First> first_;
+  const std::shared_ptr<FirstAttempt> first_;
   Duration pause_;
 };
 
--- a/src/ledger/rocksdb_storage.cpp
+++ b/src/ledger/rocksdb_storage.cpp
@@ -18,7 +18,7 @@
 namespace {
 constexpr std::size_t kCacheBytes = 8 << 20;
 constexpr int kBloomBitsPerKey = 10;
-constexpr std::size_t kManifestOfOneChange =
+constexpr std::size_t kMaxManifestBytes =
     1;  ///< Manifest size in bytes after which the next change starts a new manifest.
 
 rocksdb::Slice slice_of(const wire::Bytes& bytes) {
@@ -32,13 +32,13 @@
   MessageLog() : rocksdb::Logger(rocksdb::InfoLogLevel::WARN_LEVEL) {}
   using rocksdb::Logger::Logv;
   void Logv(const char* format, std::va_list arguments) override {
-    char text[kMostMessageBytes];
+    char text[kMaxMessageBytes];
     std::vsnprintf(text, sizeof text, format, arguments);
     log_event(LogLevel::warning, "database_message", {{"text", text}});
   }
 
  private:
-  static constexpr std::size_t kMostMessageBytes = 512;
+  static constexpr std::size_t kMaxMessageBytes = 512;
 };
 
 Error write_error(const rocksdb::Status& status) { return Error{ErrorKind::storage_unwritable, status.ToString()}; }
@@ -77,7 +77,7 @@
   options.wal_recovery_mode = rocksdb::WALRecoveryMode::kPointInTimeRecovery;
   // Each change of tables creates a new manifest, which is referenced only once it is synced. A manifest that is
   // appended to and truncated by a power loss before its sync could not be opened.
-  options.max_manifest_file_size = kManifestOfOneChange;
+  options.max_manifest_file_size = kMaxManifestBytes;
   options.write_buffer_size = implementation.write_buffer_bytes;
   options.max_background_jobs = 2;
   options.compression = rocksdb::kNoCompression;
@@ -183,7 +183,7 @@
   }();
   if (!status.ok()) {
     implementation_->log_refused = true;
-    note_refused(implementation_, write_error(status));
+    handle_refused_write(implementation_, write_error(status));
   }
 }
 
@@ -211,11 +211,11 @@
   Implementation& state = *implementation_;
   if (state.under_way && state.syncing_puts == state.puts && !state.failed) {
     state.under_way->push_back(std::move(done));
-    tell_waiting(state);
+    report_waiting(state);
     return;
   }
   state.waiting.push_back(std::move(done));
-  tell_waiting(state);
+  report_waiting(state);
   if (state.failed) {
     fail_waiting(state);
   } else if (!state.under_way) {
@@ -243,9 +243,9 @@
 void RocksDbStorage::finish_flush(const std::shared_ptr<Implementation>& implementation, const Status& synced) {
   const auto group = std::move(implementation->under_way);
   implementation->under_way = nullptr;
-  tell_waiting(*implementation);
+  report_waiting(*implementation);
   if (!succeeded(synced) && !implementation->failed) {
-    note_refused(implementation, error_of(synced));
+    handle_refused_write(implementation, error_of(synced));
   }
   if (implementation->failed) {
     implementation->waiting.insert(implementation->waiting.begin(), group->begin(), group->end());
@@ -270,16 +270,16 @@
   }
 }
 
-void RocksDbStorage::tell_waiting(const Implementation& implementation) {
+void RocksDbStorage::report_waiting(const Implementation& implementation) {
   if (implementation.executors.observer != nullptr) {
     const std::size_t under_way = implementation.under_way ? implementation.under_way->size() : 0;
     implementation.executors.observer->callers_waiting(under_way + implementation.waiting.size());
   }
 }
 
-void RocksDbStorage::note_refused(const std::shared_ptr<Implementation>& implementation, const Error& error) {
+void RocksDbStorage::handle_refused_write(const std::shared_ptr<Implementation>& implementation, const Error& error) {
   implementation->failed = true;
-  implementation->reopen_after = kReopenAfter;
+  implementation->reopen_after = kReopenDelay;
   schedule_reopen(implementation);
   // Deferred, because the caller of the failed write is still using the state that the owner discards now.
   implementation->executors.owner([implementation, error] {
@@ -294,7 +294,7 @@
     return;
   }
   const Duration delay = implementation->reopen_after;
-  implementation->reopen_after = std::min(delay * 2, kMostReopenAfter);
+  implementation->reopen_after = std::min(delay * 2, kMaxReopenDelay);
   implementation->executors.after(delay, [weak = std::weak_ptr<Implementation>(implementation)] {
     if (const auto kept = weak.lock()) {
       reopen(kept);
--- a/src/ledger/rocksdb_storage.hpp
+++ b/src/ledger/rocksdb_storage.hpp
@@ -33,8 +33,8 @@
 };
 
 /// After a refused write the database is reopened after this delay, which doubles with each further attempt.
-inline constexpr Duration kReopenAfter = 250ms;
-inline constexpr Duration kMostReopenAfter = 2s;
+inline constexpr Duration kReopenDelay = 250ms;
+inline constexpr Duration kMaxReopenDelay = 2s;
 
 /// Size of the table in memory; a full table is written to the disk.
 inline constexpr std::size_t kWriteBufferBytes = 16 << 20;
@@ -87,9 +87,9 @@
   static Status open_database(Implementation& implementation);
   static void start_flush(const std::shared_ptr<Implementation>& implementation);
   static void finish_flush(const std::shared_ptr<Implementation>& implementation, const Status& synced);
-  static void note_refused(const std::shared_ptr<Implementation>& implementation, const Error& error);
+  static void handle_refused_write(const std::shared_ptr<Implementation>& implementation, const Error& error);
   static void fail_waiting(Implementation& implementation);
-  static void tell_waiting(const Implementation& implementation);
+  static void report_waiting(const Implementation& implementation);
   static void schedule_reopen(const std::shared_ptr<Implementation>& implementation);
   static void reopen(const std::shared_ptr<Implementation>& implementation);
   static void finish_reopen(const std::shared_ptr<Implementation>& implementation, const Status& opened);
