--- a/src/ledger/client.cpp
+++ b/src/ledger/client.cpp
@@ -81,7 +81,7 @@
   Operation operation;
   operation.key = group_config_key(group, next.epoch);
   operation.rule = rule;
-  operation.only_epoch = map_.groups[group].epoch;
+  operation.required_epoch = map_.groups[group].epoch;
   operation.function = [proposal](const OptionalValue& current) {
     return current ? OptionalValue{} : OptionalValue{proposal};
   };
@@ -196,14 +196,14 @@
     if (const auto address = addresses_(replica.node)) {
       counters_["ledger_requests_sent_total"]++;
       if constexpr (!std::is_same_v<Request, wire::AdoptGroupT>) {
-        note_asked(replica.node);
+        note_request(replica.node);
       }
       send_message_within(useful_for, environment_, *address, request);
     }
   }
 }
 
-void Client::note_asked(const NodeId& node) const {
+void Client::note_request(const NodeId& node) const {
   if (on_asked) {
     on_asked(node);
   }
@@ -230,7 +230,7 @@
     return;
   }
   by_request_.erase(operation.request);
-  if (operation.only_epoch && *operation.only_epoch != map_.groups[map_.group_of(operation.key)].epoch) {
+  if (operation.required_epoch && *operation.required_epoch != map_.groups[map_.group_of(operation.key)].epoch) {
     finish(id, Error{ErrorKind::conflict, "the epoch of the group has changed"});
     return;
   }
@@ -266,7 +266,7 @@
   request.epoch = operation.group.epoch;
   request.ballot = to_wire(operation.ballot);
   request.key = operation.key;
-  request.reads_standing = operation.only_epoch.has_value();
+  request.reads_standing = operation.required_epoch.has_value();
   if (operation.rule.given_up) {
     request.gives_up = std::make_unique<wire::ReplicaIdT>();
     request.gives_up->node = operation.rule.given_up->node.str();
@@ -334,7 +334,7 @@
 void Client::finish(OperationId id, Result<OptionalValue> result) {
   auto node = operations_.extract(id);
   by_request_.erase(node.mapped().request);
-  if (node.mapped().only_epoch && on_decision) {
+  if (node.mapped().required_epoch && on_decision) {
     on_decision(map_.group_of(node.mapped().key), votes_on(node.mapped()));
   }
   node.mapped().done(std::move(result));
@@ -455,14 +455,14 @@
     operation.not_whole.insert(message.replica);
   }
   if (operation.granted.size() >= operation.needed() && operation.is_safe_to_decide()) {
-    promises_complete(id->second, operation);
+    on_promises_complete(id->second, operation);
   }
 }
 
 bool Client::Operation::is_safe_to_decide() const {
   const bool proposed_before = !best_accepted.is_zero();
   const bool all_of_earlier_versions = standing_unknown == granted.size();
-  if (!only_epoch || proposed_before || all_of_earlier_versions) {
+  if (!required_epoch || proposed_before || all_of_earlier_versions) {
     return true;
   }
   if (rule.whole_majority) {
@@ -471,7 +471,7 @@
   return whole_grants > 0 || (!rule.sole && admitted_grants >= needed());
 }
 
-void Client::promises_complete(OperationId id, Operation& operation) {
+void Client::on_promises_complete(OperationId id, Operation& operation) {
   OptionalValue next = operation.function(operation.value);
   if (!next) {
     // The function leaves the record unchanged. If a majority holds the value already, it is chosen and may be
@@ -540,7 +540,7 @@
   ScanPage page;
   std::vector<std::size_t> positions;  ///< Positions of the records that have to be settled.
   std::size_t unsettled = 0;
-  bool leave_out_failed = false;  ///< Records that cannot be settled now are left out; otherwise the scan fails.
+  bool omit_failed = false;  ///< Records that cannot be settled now are left out; otherwise the scan fails.
   std::optional<Error> failure;
 };
 
@@ -631,7 +631,7 @@
     return;
   }
   begin_attempt(id, scan);
-  ask_for_scan(scan);
+  send_scan_requests(scan);
   const unsigned attempt = scan.attempts;
   const std::uint64_t number = scan.request;
   const Duration patience = options_.attempt_timeout * (1U << std::min(attempt - 1, kMaxAttemptDoublings));
@@ -660,7 +660,7 @@
     scan.replies.clear();
     scan.refused = 0;
   }
-  scan.value_timer = false;
+  scan.value_timer_running = false;
   scan.source = value_source(scan.group);
 }
 
@@ -670,7 +670,7 @@
   return reply == scan.replies.end() || (value_wanted && reply->second.ballots_only);
 }
 
-void Client::ask_for_scan(const Scan& scan) {
+void Client::send_scan_requests(const Scan& scan) {
   wire::ScanRequestT request;
   request.request = scan.request;
   request.group = scan.group_number;
@@ -689,7 +689,7 @@
     }
     request.ballots_only = scan.content == ScanContent::keys || (scan.source && index != *scan.source);
     counters_["ledger_requests_sent_total"]++;
-    note_asked(scan.group.replicas[index].node);
+    note_request(scan.group.replicas[index].node);
     send_message_within(patience, environment_, *address, request);
   }
 }
@@ -704,10 +704,10 @@
 /// Called when the other replicas have answered. If the nearest one does not answer in time, the values are requested
 /// from the next one.
 void Client::await_value(OperationId id, Scan& scan) {
-  if (scan.replies.size() < scan.group.majority() || scan.value_timer) {
+  if (scan.replies.size() < scan.group.majority() || scan.value_timer_running) {
     return;
   }
-  scan.value_timer = true;
+  scan.value_timer_running = true;
   const std::uint64_t number = scan.request;
   const unsigned attempt = scan.attempts;
   const auto bytes_time = std::chrono::milliseconds(scan.max_bytes * 1000 / options_.min_value_bytes_per_second);
@@ -725,7 +725,7 @@
 }
 
 void Client::retry_scan(OperationId id) {
-  // The request number stays registered, so that a member whose refusal arrives late does not count as silent.
+  // The request number stays registered, so that a member whose refusal arrives late is not reported as silent.
   scans_.at(id).request = 0;
   environment_.after(options_.backoff_unit * 4, lifetime_.guard([this, id] { start_scan(id); }));
 }
@@ -808,7 +808,7 @@
          (refusal == scan.latest_refusals.end() ? "silent" : describe_refusal(refusal->second, scan.group.epoch));
 }
 
-std::string Client::count_refusals(const Scan& scan) const {
+std::string Client::describe_refusals(const Scan& scan) const {
   std::string text;
   for (const ReplicaIdentity& member : scan.group.replicas) {
     const auto address = addresses_(member.node);
@@ -831,7 +831,7 @@
     detail += (index == 0 ? ": " : ", ") + describe_member(scan, index);
   }
   detail += "; no majority of replicas answered the scan, attempts " + std::to_string(scan.attempts);
-  const std::string refusals = count_refusals(scan);
+  const std::string refusals = describe_refusals(scan);
   return Error{ErrorKind::unavailable, refusals.empty() ? detail : detail + ", refusals" + refusals.substr(1)};
 }
 
@@ -891,7 +891,7 @@
     }
   }
   auto merged = std::make_shared<MergedPage>();
-  merged->leave_out_failed = fetched;
+  merged->omit_failed = fetched;
   merged->page.next_after = fetched ? (reached < scan.keys.size() ? scan.keys[reached] : "") : horizon;
   for (const auto& [key, candidate] : candidates) {
     const bool has_value = keys_only || candidate.value != nullptr;
@@ -940,7 +940,7 @@
     read(merged->page.records[position].key, [merged, position, done, finish](Result<OptionalValue> result) {
       if (succeeded(result) && value_of(result)) {
         merged->page.records[position].value = *value_of(result);
-      } else if (succeeded(result) || merged->leave_out_failed) {
+      } else if (succeeded(result) || merged->omit_failed) {
         merged->page.records[position].key.clear();
       } else {
         merged->failure = error_of(result);
--- a/src/ledger/client.hpp
+++ b/src/ledger/client.hpp
@@ -95,8 +95,7 @@
   /// is sent to all members of both epochs.
   /// @param rule which members must agree: a majority, unless a member of an even group is proven lost or one member
   ///        was named the sole decider.
-  /// @param done receives the decided description, or the reason why none was decided.
-  /// @p done gets the description that stands, or why none was decided.
+  /// @param done receives the decided description, or the reason why none was decided
   void decide_next(std::uint32_t group, const ReplicaGroup& next, const EpochRule& rule,
                    std::function<void(Result<ReplicaGroup>)> done);
   /// Has the members of the current epoch decide the next one with unchanged members, unless another proposal is
@@ -165,10 +164,11 @@
     bool exclusive = false;
     EpochRule rule;
     std::map<PeerAddress, wire::ReplicaStatus> refusals;  ///< The latest refusal of each member over all attempts.
-    std::optional<std::uint64_t> only_epoch;  ///< Of a decision: the epoch for whose members alone its rule is valid.
-    std::size_t admitted_grants = 0;          ///< Of a decision: number of members that granted it and vote on records.
-    std::size_t whole_grants = 0;  ///< Of a decision: number of members that granted it and hold every confirmed
-                                   ///< record, without the one to be let go.
+    std::optional<std::uint64_t>
+        required_epoch;               ///< Of a decision: the epoch for whose members alone its rule is valid.
+    std::size_t admitted_grants = 0;  ///< Of a decision: number of members that granted it and vote on records.
+    std::size_t whole_grants = 0;     ///< Of a decision: number of members that granted it and hold every confirmed
+                                      ///< record, without the one to be let go.
     std::size_t standing_unknown =
         0;  ///< Of a decision: number of granting members of earlier versions, which do not report their standing.
     std::set<std::uint32_t> not_whole;  ///< Of a decision: members that granted it and may lack confirmed records.
@@ -207,7 +207,7 @@
     std::size_t refused = 0;
     ScanContent content = ScanContent::values;
     std::optional<std::uint32_t> source;  ///< Replica that values are requested from; unset: all of them.
-    bool value_timer = false;
+    bool value_timer_running = false;
     unsigned attempts = 0;
     /// Number of refusals over all attempts, by member and reason.
     std::map<PeerAddress, std::map<wire::ReplicaStatus, unsigned>> refusals;
@@ -226,7 +226,7 @@
   void arm_attempt_timer(OperationId id, std::uint64_t request);
   /// @return the timeout of an attempt at @p operation, which includes the time to send the value to every replica.
   Duration attempt_time(const Operation& operation) const;
-  void promises_complete(OperationId id, Operation& operation);
+  void on_promises_complete(OperationId id, Operation& operation);
   void on_accept_progress(OperationId id, Operation& operation);
   void refuse(OperationId id, Operation& operation, const Ballot& promised);
   /// Brings @p sender and this node to the same epoch after @p sender refused a request because of its epoch.
@@ -236,7 +236,7 @@
   /// Sends @p request to all members; it is dropped once @p useful_for has passed.
   template <class Request>
   void broadcast(const ReplicaGroup& group, const Request& request, Duration useful_for);
-  void note_asked(const NodeId& node) const;
+  void note_request(const NodeId& node) const;
   void note_granted(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch) const;
 
   void submit_scan(Scan scan, Duration patience);
@@ -247,7 +247,7 @@
   void retry_scan(OperationId id);
   /// @return the replica of @p group to request values from.
   std::uint32_t value_source(const ReplicaGroup& group) const;
-  void ask_for_scan(const Scan& scan);
+  void send_scan_requests(const Scan& scan);
   /// @return whether @p scan still needs the answer of member number @p replica of the group.
   static bool lacks_answer(const Scan& scan, std::uint32_t replica);
   /// @return whether the replies are enough to determine the chosen values.
@@ -260,7 +260,7 @@
   std::string describe_member(const Scan& scan, std::uint32_t index) const;
   static std::string describe_refusal(const member_refusal& refusal, std::uint64_t epoch);
   /// @return the refusal counts by member and reason; empty if there were none.
-  std::string count_refusals(const Scan& scan) const;
+  std::string describe_refusals(const Scan& scan) const;
   /// @return why no majority granted @p operation: the last answer of each member.
   std::string operation_failure(const Operation& operation) const;
   /// @return the last answer of each member to @p operation, which is a decision.
--- a/src/ledger/epoch_change.cpp
+++ b/src/ledger/epoch_change.cpp
@@ -9,8 +9,8 @@
 namespace madderdeck::ledger {
 namespace {
 
-constexpr std::size_t kPairSize = 2;      ///< Size of the smallest group, in which a majority needs all members.
-constexpr int kDeclinedRank = 1'000'000;  ///< Exceeds the number of members in any zone.
+constexpr std::size_t kPairSize = 2;         ///< Size of the smallest group, in which a majority needs all members.
+constexpr int kDeclinedPenalty = 1'000'000;  ///< Exceeds the number of members in any zone.
 
 bool contains(const std::vector<ReplicaIdentity>& list, const ReplicaIdentity& identity) {
   return std::find(list.begin(), list.end(), identity) != list.end();
@@ -41,7 +41,7 @@
     }
     // The same node with its new disk first, then the zone that the others use least.
     const int preference = place.identity.node == lost.node ? 1 : -members_in_zone[place.zone];
-    const int rank = place.declined ? preference - kDeclinedRank : preference;
+    const int rank = place.declined ? preference - kDeclinedPenalty : preference;
     if (rank > best_rank) {
       best = place.identity;
       best_rank = rank;
@@ -66,7 +66,7 @@
   return stays ? replica_state::present : state;
 }
 
-/// @return a former member that was given up as silent and is up again.
+/// @return a former member that was given up as unresponsive and is up again.
 std::optional<ReplicaIdentity> returned_member(const ReplicaGroup& group, const fleet_view& view) {
   for (const disk_place& place : view.places()) {
     if (contains(group.leaving, place.identity) && !view.is_retiring(place.identity.node)) {
@@ -198,8 +198,8 @@
   for (const ReplicaIdentity& replica : group.replicas) {
     states.push_back(standing_of(group, replica, view, guards));
   }
-  // Lost disks come first: removing one needs at most as many members to agree as removing a silent one, for which too
-  // few members may be left.
+  // Lost disks come first: removing one needs at most as many members to agree as removing an unresponsive one, for
+  // which too few members may be left.
   for (const replica_state gone : {replica_state::disk_replaced, replica_state::missing}) {
     for (std::size_t index = 0; index < states.size(); ++index) {
       if (states[index] == gone && replace_gone(change, group, index, gone, view, guards)) {
--- a/src/ledger/epoch_change.hpp
+++ b/src/ledger/epoch_change.hpp
@@ -60,7 +60,7 @@
 struct change_guards {
   bool new_members_consent = true;       ///< A disk becomes a member only with its own consent.
   bool leavers_stay_out = true;          ///< A leaving member of a group is never a substitute in that group.
-  bool members_miss_silent_ones = true;  ///< A member that another member sees up is not given up as silent.
+  bool members_miss_silent_ones = true;  ///< A member that another member sees up is not given up as unresponsive.
 };
 
 /// @param replicas intended number of replicas of a group
--- a/src/ledger/gone_disks.cpp
+++ b/src/ledger/gone_disks.cpp
@@ -52,14 +52,14 @@
 std::vector<gone_disk> gone_disks::named_by(const ReplicaGroup& group) const {
   std::vector<gone_disk> gone;
   for (const ReplicaIdentity& identity : group.all()) {
-    if (auto disk = judge(identity)) {
+    if (auto disk = evaluate(identity)) {
       gone.push_back(std::move(*disk));
     }
   }
   return gone;
 }
 
-std::optional<gone_disk> gone_disks::judge(const ReplicaIdentity& identity) const {
+std::optional<gone_disk> gone_disks::evaluate(const ReplicaIdentity& identity) const {
   const wire::MemberT* node = known_.member(identity.node);
   if (node != nullptr && !node->disk_id.empty() && node->disk_id != identity.disk.str()) {
     return gone_disk{identity, gone_reason::disk_replaced, "its node runs with " + node->disk_id};
@@ -69,7 +69,7 @@
   }
   const bool away = is_away(identity.node);
   const std::optional<bool> emptied = known_.is_emptied ? known_.is_emptied(identity.node) : std::nullopt;
-  // A new machine with the same name is up and is not being drained.
+  // A disk of a drained node still counts as present if a new machine with the node's name is up and not being drained.
   if (emptied.value_or(false) && (away || node->retiring)) {
     return gone_disk{identity, gone_reason::emptied, "its node was emptied"};
   }
--- a/src/ledger/gone_disks.hpp
+++ b/src/ledger/gone_disks.hpp
@@ -59,7 +59,7 @@
   std::vector<gone_disk> named_by(const ReplicaGroup& group) const;
 
  private:
-  std::optional<gone_disk> judge(const ReplicaIdentity& identity) const;
+  std::optional<gone_disk> evaluate(const ReplicaIdentity& identity) const;
   /// @return whether @p node is dead or not known.
   bool is_away(const NodeId& node) const;
   Duration away_for(const NodeId& node) const;
--- a/src/ledger/group_health.cpp
+++ b/src/ledger/group_health.cpp
@@ -11,12 +11,12 @@
 constexpr Duration kRecoveryReportDelay = 500ms;
 /// Minimum interval between loss reports of one group: at most two lines per group in that time.
 constexpr Duration kMinLossReportInterval = 10s;
-/// Grace period after startup, while the node has not heard of all members yet.
+/// Grace period after startup, in which the node may not know all members yet.
 constexpr Duration kStartupGracePeriod = 3s;
 /// How long a refusal is taken into account; by then the member has been asked or has answered the next request.
 constexpr Duration kRefusalLifetime = 5s;
 /// Interval between any two questions; a question and its answer are about 70 bytes each.
-constexpr Duration kMinQuestionInterval = 1s;
+constexpr Duration kQuestionInterval = 1s;
 /// Interval between questions to one member about one group; it doubles after kQuestionsBeforeDoubling questions. An
 /// admitted member also reports it unasked.
 constexpr Duration kFirstQuestionPause = 1s;
@@ -28,7 +28,7 @@
 /// Questions are sent over connections. One that is not answered reached no node, or a node that does not know the
 /// epoch and runs a version that does not report this.
 constexpr unsigned kUnresponsiveQuestions = 3;
-/// A node is silent if it answers none of the requests that were sent to it for this time.
+/// A node counts as unresponsive (state silent) if it answers none of the requests that were sent to it for this time.
 constexpr Duration kUnresponsiveAfter = 3s;
 constexpr unsigned kUnresponsiveRequests = 5;
 /// Longer than copying 30 MB of records takes with half a core.
@@ -36,7 +36,7 @@
 constexpr Duration kMaxUnadmittedReportPause = 80s;
 
 /// @return the state that a member reports for @p epoch; nothing if the report does not determine it.
-std::optional<member_state> said_by(const wire::CopyStatusT& message, std::uint64_t epoch) {
+std::optional<member_state> state_from(const wire::CopyStatusT& message, std::uint64_t epoch) {
   if (message.epoch < epoch) {
     return member_state::unknown_epoch;
   }
@@ -162,17 +162,17 @@
   CounterValue lost = 0;
   CounterValue lost_with_gone_disks = 0;
   for (std::uint32_t group = 0; group < groups_.size(); ++group) {
-    note_seen(group, groups_[group]);
-    review(group, groups_[group]);
+    update_seen(group, groups_[group]);
+    check_majority(group, groups_[group]);
     lost += groups_[group].loss_reported ? 1 : 0;
-    lost_with_gone_disks += review_gone(group, groups_[group]) ? 1 : 0;
+    lost_with_gone_disks += report_gone_disks(group, groups_[group]) ? 1 : 0;
   }
   counters_["ledger_groups_without_majority"] = lost;
   counters_["ledger_groups_without_majority_with_gone_disks"] = lost_with_gone_disks;
   if (replica_ != nullptr) {
-    review_admissions();
+    check_admissions();
   }
-  ask_next();
+  send_next_question();
 }
 
 void group_health::adopt_epochs() {
@@ -187,12 +187,12 @@
     std::map<ReplicaIdentity, member_report> reports;
     for (const ReplicaIdentity& identity : present.replicas) {
       const auto known = state.reports.find(identity);
-      const bool admitted = known != state.reports.end() && known->second.said == member_state::counts;
+      const bool admitted = known != state.reports.end() && known->second.state == member_state::counts;
       // The disks of a group in its founding epoch lack no records.
       if (admitted) {
         reports[identity] = known->second;
       } else if (present.epoch == kFoundingEpoch) {
-        reports[identity].said = member_state::counts;
+        reports[identity].state = member_state::counts;
         reports[identity].by = evidence::founding;
       } else {
         reports[identity] = member_report{};
@@ -202,7 +202,7 @@
   }
 }
 
-void group_health::note_seen(std::uint32_t group, group_state& state) const {
+void group_health::update_seen(std::uint32_t group, group_state& state) const {
   std::map<ReplicaIdentity, seen_member> seen;
   for (const ReplicaIdentity& identity : description(group).replicas) {
     const member_state now_seen = find_state(group, identity).state;
@@ -215,7 +215,7 @@
 
 // --- majorities -----------------------------------------------------------------------------
 
-void group_health::review(std::uint32_t group, group_state& state) {
+void group_health::check_majority(std::uint32_t group, group_state& state) {
   const Timestamp now = environment_.now();
   if (now - started_ < kStartupGracePeriod) {
     return;
@@ -223,28 +223,30 @@
   const group_view seen = view(group);
   const bool differs = state.loss_reported ? seen.has_majority() : !seen.may_have_majority();
   if (!differs) {
-    state.differs_since.reset();
+    state.change_pending_since.reset();
     return;
   }
-  if (!state.differs_since) {
-    state.differs_since = now;
+  if (!state.change_pending_since) {
+    state.change_pending_since = now;
   }
-  const bool settled = now - *state.differs_since >= (state.loss_reported ? kRecoveryReportDelay : kLossReportDelay);
-  const bool rested = state.loss_reported_at.count() == 0 || now - state.loss_reported_at >= kMinLossReportInterval;
-  if (settled && (state.loss_reported || rested)) {
-    tell(seen, state);
+  const bool settled =
+      now - *state.change_pending_since >= (state.loss_reported ? kRecoveryReportDelay : kLossReportDelay);
+  const bool interval_passed =
+      state.loss_reported_at.count() == 0 || now - state.loss_reported_at >= kMinLossReportInterval;
+  if (settled && (state.loss_reported || interval_passed)) {
+    report_majority(seen, state);
   }
 }
 
-void group_health::tell(const group_view& seen, group_state& state) {
+void group_health::report_majority(const group_view& seen, group_state& state) {
   const Timestamp now = environment_.now();
   const bool lost = !seen.has_majority();
   if (lost) {
-    state.lost_since = *state.differs_since;
+    state.lost_since = *state.change_pending_since;
     state.loss_reported_at = now;
   }
   state.loss_reported = lost;
-  state.differs_since.reset();
+  state.change_pending_since.reset();
   counters_[lost ? "ledger_majorities_lost_total" : "ledger_majorities_regained_total"]++;
   log_.record(lost ? "group_majority_lost" : "group_majority_regained",
               {{"group", seen.group},
@@ -256,7 +258,7 @@
                {"uncounted", seen.uncounted_text()}});
 }
 
-bool group_health::review_gone(std::uint32_t group, group_state& state) {
+bool group_health::report_gone_disks(std::uint32_t group, group_state& state) {
   if (!state.loss_reported) {
     state.reported_gone.clear();
     return false;
@@ -315,7 +317,7 @@
   if (replica_ != nullptr && replica_->is(identity)) {
     return {own_state(group), evidence::own_disk};
   }
-  const known_state heard = heard_state(group, identity);
+  const known_state heard = reported_state(group, identity);
   const bool may_vote = heard.state == member_state::counts || heard.state == member_state::not_heard;
   return may_vote && is_silent(identity.node) ? known_state{member_state::silent, evidence::requests} : heard;
 }
@@ -333,7 +335,7 @@
   return member_state::unknown_epoch;
 }
 
-group_health::known_state group_health::heard_state(std::uint32_t group, const ReplicaIdentity& identity) const {
+group_health::known_state group_health::reported_state(std::uint32_t group, const ReplicaIdentity& identity) const {
   const member_report* heard = nullptr;
   if (group < groups_.size()) {
     const auto entry = groups_[group].reports.find(identity);
@@ -344,13 +346,13 @@
     return founding ? known_state{member_state::counts, evidence::founding} : known_state{};
   }
   const bool over = heard->by == evidence::refusal && environment_.now() - heard->heard_at >= kRefusalLifetime;
-  if (heard->said && !over) {
-    return {*heard->said, heard->by};
+  if (heard->state && !over) {
+    return {*heard->state, heard->by};
   }
   if (heard->unanswered >= kUnresponsiveQuestions) {
     return {member_state::silent, evidence::requests};
   }
-  const bool cannot_tell = heard->answered && !heard->said;
+  const bool cannot_tell = heard->answered && !heard->state;
   return cannot_tell ? known_state{member_state::counts, evidence::own_report} : known_state{};
 }
 
@@ -401,7 +403,7 @@
 void group_health::on_asked(const NodeId& node) {
   request_activity& entry = request_activities_[node];
   const Timestamp now = environment_.now();
-  // Time without requests does not count as silence.
+  // The time without requests is not counted as unresponsive.
   if (entry.requests == 0 || now - entry.last > kUnresponsiveAfter) {
     entry = request_activity{now, now, 0, entry.heard_at};
   }
@@ -458,7 +460,7 @@
   }
   const auto& reports = groups_[group].reports;
   return std::all_of(reports.begin(), reports.end(),
-                     [](const auto& entry) { return entry.second.said == member_state::counts; });
+                     [](const auto& entry) { return entry.second.state == member_state::counts; });
 }
 
 void group_health::on_granted(const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch) {
@@ -469,7 +471,7 @@
   if (heard == nullptr) {
     return;
   }
-  heard->said = member_state::counts;
+  heard->state = member_state::counts;
   heard->by = evidence::own_report;
   heard->heard_at = environment_.now();
   heard->unanswered = 0;
@@ -494,12 +496,12 @@
   if (heard == nullptr) {
     return;
   }
-  if (heard->said == member_state::counts) {
+  if (heard->state == member_state::counts) {
     heard->asked = 0;
-    heard->ask_at = environment_.now();
+    heard->next_question_at = environment_.now();
   }
   const bool not_ready = status == wire::ReplicaStatus::NotReady;
-  heard->said = not_ready ? member_state::not_admitted : member_state::unknown_epoch;
+  heard->state = not_ready ? member_state::not_admitted : member_state::unknown_epoch;
   heard->by = evidence::refusal;
   heard->heard_at = environment_.now();
   heard->unanswered = 0;
@@ -514,39 +516,40 @@
   heard->heard_at = environment_.now();
   heard->by = evidence::own_report;
   heard->answered = true;
-  heard->said = said_by(message, groups_[message.group].epoch);
+  heard->state = state_from(message, groups_[message.group].epoch);
 }
 
 // --- questions ------------------------------------------------------------------------------
 
-bool group_health::has_to_be_asked(const ReplicaIdentity& identity, const member_report& heard) const {
-  const bool admitted = heard.said == member_state::counts;
+bool group_health::needs_question(const ReplicaIdentity& identity, const member_report& heard) const {
+  const bool admitted = heard.state == member_state::counts;
   const bool own = replica_ != nullptr && replica_->is(identity);
   return !admitted && !own && presence_of(identity) == member_state::counts;
 }
 
-void group_health::ask_next() {
+void group_health::send_next_question() {
   const Timestamp now = environment_.now();
   member_report* due = nullptr;
   const ReplicaIdentity* asked = nullptr;
   std::uint32_t asked_group = 0;
   for (std::uint32_t group = 0; group < groups_.size(); ++group) {
     for (auto& [identity, heard] : groups_[group].reports) {
-      if (now >= heard.ask_at && (due == nullptr || heard.ask_at < due->ask_at) && has_to_be_asked(identity, heard)) {
+      if (now >= heard.next_question_at && (due == nullptr || heard.next_question_at < due->next_question_at) &&
+          needs_question(identity, heard)) {
         due = &heard;
         asked = &identity;
         asked_group = group;
       }
     }
   }
-  if (due == nullptr || now - last_question_ < kMinQuestionInterval) {
+  if (due == nullptr || now - last_question_ < kQuestionInterval) {
     return;
   }
   const unsigned most_doublings =
       groups_[asked_group].loss_reported ? kMaxQuestionDoublingsWhenLost : kMaxQuestionDoublings;
   const unsigned doublings =
       std::min(std::max(due->asked, kQuestionsBeforeDoubling) - kQuestionsBeforeDoubling, most_doublings);
-  due->ask_at = now + kFirstQuestionPause * (1U << doublings);
+  due->next_question_at = now + kFirstQuestionPause * (1U << doublings);
   ++due->asked;
   ++due->unanswered;
   last_question_ = now;
@@ -559,7 +562,7 @@
 
 // --- this node's own replicas -----------------------------------------------------------------
 
-void group_health::review_admissions() {
+void group_health::check_admissions() {
   const Timestamp now = environment_.now();
   const std::vector<Replica::unadmitted> present = replica_->list_unadmitted();
   std::erase_if(waiting_, [&present](const auto& entry) {
@@ -567,9 +570,9 @@
                         [&entry](const Replica::unadmitted& replica) { return replica.group == entry.first; });
   });
   for (const Replica::unadmitted& replica : present) {
-    const auto [entry, inserted] =
-        waiting_.try_emplace(replica.group, waiting_replica{now, now + kUnadmittedReportDelay, kUnadmittedReportDelay});
-    waiting_replica& waiting = entry->second;
+    const auto [entry, inserted] = waiting_.try_emplace(
+        replica.group, unadmitted_replica{now, now + kUnadmittedReportDelay, kUnadmittedReportDelay});
+    unadmitted_replica& waiting = entry->second;
     if (!inserted && now >= waiting.next_report_at) {
       report_unadmitted(replica, waiting);
       waiting.pause = std::min(waiting.pause * 2, kMaxUnadmittedReportPause);
@@ -579,7 +582,7 @@
   counters_["ledger_replicas_not_admitted"] = static_cast<CounterValue>(present.size());
 }
 
-void group_health::report_unadmitted(const Replica::unadmitted& replica, const waiting_replica& waiting) {
+void group_health::report_unadmitted(const Replica::unadmitted& replica, const unadmitted_replica& waiting) {
   std::string sources;
   for (const ReplicaIdentity& source : replica.waits_for) {
     sources += (sources.empty() ? "" : ", ") + text_of(source) + " " +
--- a/src/ledger/group_health.hpp
+++ b/src/ledger/group_health.hpp
@@ -117,13 +117,13 @@
  private:
   /// What a member has reported about one group.
   struct member_report {
-    std::optional<member_state> said;  ///< One of counts, not_admitted and unknown_epoch.
-    evidence by = evidence::nothing;   ///< A state derived from a refusal expires after a while.
-    bool answered = false;             ///< It has answered, possibly without reporting whether it votes.
+    std::optional<member_state> state;  ///< One of counts, not_admitted and unknown_epoch.
+    evidence by = evidence::nothing;    ///< A state derived from a refusal expires after a while.
+    bool answered = false;              ///< It has answered, possibly without reporting whether it votes.
     Timestamp heard_at{};
-    unsigned asked = 0;       ///< Number of questions at this epoch.
-    unsigned unanswered = 0;  ///< Number of questions since its last answer.
-    Timestamp ask_at{};       ///< When the next question is due.
+    unsigned asked = 0;            ///< Number of questions at this epoch.
+    unsigned unanswered = 0;       ///< Number of questions since its last answer.
+    Timestamp next_question_at{};  ///< When the next question is due.
   };
   /// The last observed state of a member.
   struct seen_member {
@@ -139,13 +139,13 @@
     std::map<ReplicaIdentity, seen_member> seen;
     std::map<ReplicaIdentity, member_report> reports;
     bool loss_reported = false;
-    std::optional<Timestamp> differs_since;  ///< Since when the reported state no longer applies.
+    std::optional<Timestamp> change_pending_since;  ///< Since when the reported state no longer applies.
     Timestamp lost_since{};
     Timestamp loss_reported_at{};             ///< When a loss was last reported; zero: never.
     std::set<ReplicaIdentity> reported_gone;  ///< Gone disks reported since the loss of the majority was reported.
   };
   /// A replica on this node's disk that may not vote yet.
-  struct waiting_replica {
+  struct unadmitted_replica {
     Timestamp since{};
     Timestamp next_report_at{};
     Duration pause{};
@@ -161,21 +161,21 @@
   void check();
   /// Adopts later epochs: disks that remain members are still admitted.
   void adopt_epochs();
-  void note_seen(std::uint32_t group, group_state& state) const;
-  void review(std::uint32_t group, group_state& state);
-  void tell(const group_view& seen, group_state& state);
+  void update_seen(std::uint32_t group, group_state& state) const;
+  void check_majority(std::uint32_t group, group_state& state);
+  void report_majority(const group_view& seen, group_state& state);
   /// Reports each permanently gone disk once that is named by a group whose loss of majority was reported.
   /// @return whether there are any such disks.
-  bool review_gone(std::uint32_t group, group_state& state);
-  void review_admissions();
-  void report_unadmitted(const Replica::unadmitted& replica, const waiting_replica& waiting);
+  bool report_gone_disks(std::uint32_t group, group_state& state);
+  void check_admissions();
+  void report_unadmitted(const Replica::unadmitted& replica, const unadmitted_replica& waiting);
   /// Asks the member whose question has been due for longest, if the rate limit permits a question now.
-  void ask_next();
+  void send_next_question();
   /// @return whether the member has to be asked for its standing.
-  bool has_to_be_asked(const ReplicaIdentity& identity, const member_report& heard) const;
+  bool needs_question(const ReplicaIdentity& identity, const member_report& heard) const;
   known_state find_state(std::uint32_t group, const ReplicaIdentity& identity) const;
   /// @return the state that the member has reported, provided that its node answers probes.
-  known_state heard_state(std::uint32_t group, const ReplicaIdentity& identity) const;
+  known_state reported_state(std::uint32_t group, const ReplicaIdentity& identity) const;
   /// @return the state of this node's own replica.
   member_state own_state(std::uint32_t group) const;
   /// @return the state of its node, independent of what it reports about a group.
@@ -201,7 +201,7 @@
   Timestamp started_{};
   Timestamp last_question_{};
   std::vector<group_state> groups_;
-  std::map<std::uint32_t, waiting_replica> waiting_;
+  std::map<std::uint32_t, unadmitted_replica> waiting_;
   std::map<NodeId, request_activity> request_activities_;
   gone_disks gone_;
   Lifetime lifetime_;
--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -379,7 +379,7 @@
   return found;
 }
 
-void Replica::note_asked(std::uint32_t group) {
+void Replica::note_request(std::uint32_t group) {
   if (const auto entry = last_requested_at_.find(group); entry != last_requested_at_.end()) {
     entry->second = environment_.now();
   }
@@ -618,7 +618,7 @@
 template <class Request, class Reply>
 std::optional<Replica::StoredRecord> Replica::open_request(const PeerAddress& sender, const Request& message,
                                                            Reply& reply, bool with_value) {
-  note_asked(message.group);
+  note_request(message.group);
   reply.request = message.request;
   reply.epoch = message.epoch;
   reply.status = admit_to(message);
@@ -753,7 +753,7 @@
 }
 
 void Replica::handle(const PeerAddress& sender, const wire::ScanRequestT& message) {
-  note_asked(message.group);
+  note_request(message.group);
   wire::ScanReplyT reply;
   reply.request = message.request;
   reply.epoch = message.epoch;
@@ -955,7 +955,7 @@
   // The source may have received records of the leaving members after sending its pages. The copy in progress is
   // completed first: what it brings is not sent twice.
   if (!source->second.complete) {
-    source->second.copy_again = true;
+    source->second.restart_when_complete = true;
     return;
   }
   copy_from_start(source->second);
@@ -1082,7 +1082,7 @@
     source.complete = source.next_after.empty();
     source.after = source.next_after;
   }
-  if (source.complete && source.copy_again) {
+  if (source.complete && source.restart_when_complete) {
     copy_from_start(source);
   }
   if (source.complete) {
--- a/src/ledger/replica.hpp
+++ b/src/ledger/replica.hpp
@@ -18,8 +18,8 @@
 
 namespace madderdeck::ledger {
 
-/// Safety rules of a replica. They are always enabled in the daemon. The simulation disables one of them to show that
-/// its checks notice.
+/// Safety rules of a replica. They are always enabled in the daemon. The simulation disables one of them at a time to
+/// show that its checks notice.
 struct ReplicaGuards {
   bool admission_before_voting = true;  ///< A new disk copies from the other members before it votes.
   bool flush_before_reply = true;       ///< A reply is sent only after its write is durable.
@@ -125,7 +125,7 @@
   /// a while. May be empty.
   std::function<void(std::optional<std::uint32_t> group, const Error&)> on_unreadable;
   /// Returns whether this node sees a member up with that disk, or cannot tell; such a member is not given up as
-  /// silent. May be empty.
+  /// unresponsive. May be empty.
   std::function<bool(const ReplicaIdentity&)> is_there;
   /// Called for each answer to the offer of a place; may be empty.
   std::function<void(const place_offer&, wire::PlaceConsent)> on_place_answered;
@@ -145,9 +145,9 @@
     bool whole = false;          ///< The source was whole when this copy began.
     Timestamp values_since{};    ///< When the source last sent something while values were wanted.
     std::set<std::uint32_t>
-        deferred_to;          ///< Other sources from which values are awaited that this source also offered.
-    bool copy_again = false;  ///< Once this copy is complete, it restarts because the source holds all records of the
-                              ///< leaving members by now.
+        deferred_to;                     ///< Other sources from which values are awaited that this source also offered.
+    bool restart_when_complete = false;  ///< Once this copy is complete, it restarts because the source holds all
+                                         ///< records of the leaving members by now.
   };
   /// When pages arrived from a node that is copied from, over all groups.
   struct source_activity {
@@ -205,7 +205,7 @@
   wire::ReplicaStatus admit_to(const wire::PrepareT& message) const;
   /// @return whether the decision requested by @p message gives up a member that this node sees up.
   bool gives_up_present_member(const wire::PrepareT& message) const;
-  void note_asked(std::uint32_t group);
+  void note_request(std::uint32_t group);
   wire::ReplicaStatus admit_to(const wire::AcceptT& message) const;
   bool is_decision_of_member(std::uint32_t group, std::uint64_t epoch, const std::string& key) const;
   /// @return whether the replica votes on records.
--- a/src/ledger/replica_journal.cpp
+++ b/src/ledger/replica_journal.cpp
@@ -6,14 +6,14 @@
 namespace madderdeck::ledger {
 namespace {
 
-constexpr Duration kLook = 1s;
+constexpr Duration kReportCheckInterval = 1s;
 /// Interval between log lines about a copy; it doubles while nothing arrives.
 constexpr Duration kCopyReportInterval = 5s;
 constexpr Duration kMaxCopyReportInterval = 80s;
 /// Nodes that need a group's records retry within some seconds.
 constexpr Duration kUnaskedReportDelay = 10s;
 constexpr Duration kMaxUnaskedReportPause = 640s;
-constexpr std::size_t kMostUnaskedNamed = 8;
+constexpr std::size_t kMaxUnaskedGroupsLogged = 8;
 
 }  // namespace
 
@@ -36,8 +36,8 @@
 }
 
 void replica_journal::report_place_answered(const place_offer& offer, wire::PlaceConsent answer) {
-  const auto told = std::pair(offer.epoch, answer);
-  if (std::exchange(reported_places_[offer.group], told) == told) {
+  const auto reported = std::pair(offer.epoch, answer);
+  if (std::exchange(reported_places_[offer.group], reported) == reported) {
     return;
   }
   log_.record("place_answered", {{"group", offer.group},
@@ -61,9 +61,9 @@
 
 void replica_journal::report_copy_begun(std::uint32_t group, std::uint64_t epoch) {
   const copy_progress& copy = *replica_.copy_of(group);
-  reported_copy& told = copies_[group];
-  if (told.began_at != copy.began_at || told.pause.count() == 0) {
-    told = {copy.began_at, environment_.now() + kCopyReportInterval, kCopyReportInterval, 0};
+  reported_copy& reported = copies_[group];
+  if (reported.began_at != copy.began_at || reported.pause.count() == 0) {
+    reported = {copy.began_at, environment_.now() + kCopyReportInterval, kCopyReportInterval, 0};
     std::vector<ReplicaIdentity> sources;
     for (const awaited_source& source : replica_.awaited_sources(group)) {
       sources.push_back(source.identity);
@@ -90,7 +90,7 @@
 }
 
 void replica_journal::report_unasked_groups() {
-  environment_.after(kLook, lifetime_.guard([this] { report_unasked_groups(); }));
+  environment_.after(kReportCheckInterval, lifetime_.guard([this] { report_unasked_groups(); }));
   const Timestamp now = environment_.now();
   const std::vector<Replica::unasked> unasked = replica_.list_unasked(now - kUnaskedReportDelay);
   if (unasked.empty()) {
@@ -102,7 +102,7 @@
     return;
   }
   std::string named;
-  for (std::size_t index = 0; index < std::min(unasked.size(), kMostUnaskedNamed); ++index) {
+  for (std::size_t index = 0; index < std::min(unasked.size(), kMaxUnaskedGroupsLogged); ++index) {
     const Replica::unasked& one = unasked[index];
     named += (named.empty() ? "group " : ", group ") + std::to_string(one.group) + " epoch " +
              std::to_string(one.epoch) + " for " + std::to_string((now - one.since) / 1ms) + " ms";
@@ -118,7 +118,7 @@
     return;
   }
   copy_report_scheduled_ = true;
-  environment_.after(kLook, lifetime_.guard([this] {
+  environment_.after(kReportCheckInterval, lifetime_.guard([this] {
     copy_report_scheduled_ = false;
     report_due_copies();
   }));
@@ -126,16 +126,17 @@
 
 void replica_journal::report_due_copies() {
   std::erase_if(copies_, [this](const auto& entry) { return replica_.awaited_sources(entry.first).empty(); });
-  for (auto& [group, told] : copies_) {
+  for (auto& [group, reported] : copies_) {
     const copy_progress* copy = replica_.copy_of(group);
-    if (copy == nullptr || environment_.now() < told.next_report_at) {
+    if (copy == nullptr || environment_.now() < reported.next_report_at) {
       continue;
     }
     report_progress(group, *copy);
     const std::uint64_t pages = copy->total().pages;
-    told.pause = pages != told.pages ? kCopyReportInterval : std::min(told.pause * 2, kMaxCopyReportInterval);
-    told.pages = pages;
-    told.next_report_at = environment_.now() + told.pause;
+    reported.pause =
+        pages != reported.pages ? kCopyReportInterval : std::min(reported.pause * 2, kMaxCopyReportInterval);
+    reported.pages = pages;
+    reported.next_report_at = environment_.now() + reported.pause;
   }
   if (!copies_.empty()) {
     schedule_copy_report();
--- a/src/ledger/rocksdb_disk_opener.cpp
+++ b/src/ledger/rocksdb_disk_opener.cpp
@@ -50,9 +50,9 @@
   return std::exchange(first.outcome, std::nullopt);
 }
 
-void disk_opener::try_again() { schedule(); }
+void disk_opener::try_again() { schedule_retry(); }
 
-void disk_opener::schedule() {
+void disk_opener::schedule_retry() {
   executors_.after(pause_, [this] { attempt(); });
   pause_ = std::min(pause_ * 2, kMaxReopenDelay);
 }
@@ -75,7 +75,7 @@
     return;
   }
   hooks_.refused(error_of(opened));
-  schedule();
+  schedule_retry();
 }
 
 }  // namespace madderdeck::ledger
--- a/src/ledger/rocksdb_disk_opener.hpp
+++ b/src/ledger/rocksdb_disk_opener.hpp
@@ -39,7 +39,7 @@
 
  private:
   struct FirstAttempt;
-  void schedule();
+  void schedule_retry();
   void attempt();
   void finish(Result<OpenedDisk> opened);
 
