--- a/src/ledger/client.cpp
+++ b/src/ledger/client.cpp
@@ -419,7 +419,7 @@
   }
   if (operation.phase == Phase::preparing && message.status == wire::ReplicaStatus::MemberThere) {
     operation.refusals[sender] = message.status;
-    finish(id->second, Error{ErrorKind::conflict, "another member sees that the member to be given up is up"});
+    finish(id->second, Error{ErrorKind::conflict, "another member knows that the member to be given up is alive"});
     return;
   }
   if (operation.phase != Phase::preparing || !operation.counts(message.replica)) {
--- a/src/ledger/client.hpp
+++ b/src/ledger/client.hpp
@@ -164,13 +164,13 @@
     bool exclusive = false;
     EpochRule rule;
     std::map<PeerAddress, wire::ReplicaStatus> refusals;  ///< The latest refusal of each member over all attempts.
-    std::optional<std::uint64_t>
-        required_epoch;               ///< Of a decision: the epoch for whose members alone its rule is valid.
+    /// Of a decision: the epoch for whose members alone its rule is valid.
+    std::optional<std::uint64_t> required_epoch;
     std::size_t admitted_grants = 0;  ///< Of a decision: number of members that granted it and vote on records.
-    std::size_t whole_grants = 0;     ///< Of a decision: number of members that granted it and hold every confirmed
-                                      ///< record, without the one to be let go.
-    std::size_t standing_unknown =
-        0;  ///< Of a decision: number of granting members of earlier versions, which do not report their standing.
+    /// Of a decision: number of members that granted it and hold every confirmed record, without the departing one.
+    std::size_t whole_grants = 0;
+    /// Of a decision: number of granting members of earlier versions, which do not report their standing.
+    std::size_t standing_unknown = 0;
     std::set<std::uint32_t> not_whole;  ///< Of a decision: members that granted it and may lack confirmed records.
     std::optional<std::uint32_t> given_up_answer;  ///< Of a decision: set when the member to be given up has answered.
     unsigned attempts = 0;
@@ -182,7 +182,7 @@
     bool gives_up(std::uint32_t replica) const {
       return rule.given_up && replica < group.replicas.size() && group.replicas[replica] == *rule.given_up;
     }
-    /// @return whether member number @p replica of the group is to be let go.
+    /// @return whether member number @p replica of the group is the departing one.
     bool lets_go(std::uint32_t replica) const {
       return rule.let_go && replica < group.replicas.size() && group.replicas[replica] == *rule.let_go;
     }
--- a/src/ledger/decision_votes.hpp
+++ b/src/ledger/decision_votes.hpp
@@ -24,7 +24,7 @@
   corrupted,         ///< The member cannot read its record of the decision.
   not_whole,         ///< Enough members granted, but they may lack confirmed records.
   given_up_answers,  ///< The member that was to be given up has answered.
-  member_there,      ///< The member sees that the one to be given up is up.
+  member_there,      ///< The member considers the one to be given up to be up.
   epoch_passed,      ///< The group entered another epoch before the decision ended.
   store,             ///< The store did not permit one member to decide alone.
   candidate,         ///< The disk that would become a member did not consent.
--- a/src/ledger/epoch_change.hpp
+++ b/src/ledger/epoch_change.hpp
@@ -56,11 +56,11 @@
   std::string reason;  ///< For operators: the member and its state, or what else the group needs.
 };
 
-/// Rules that exclude disks from membership. The simulation can turn each of them off.
+/// Rules for membership changes. The simulation can turn each of them off.
 struct change_guards {
   bool new_members_consent = true;       ///< A disk becomes a member only with its own consent.
   bool leavers_stay_out = true;          ///< A leaving member of a group is never a substitute in that group.
-  bool members_miss_silent_ones = true;  ///< A member that another member sees up is not given up as unresponsive.
+  bool members_miss_silent_ones = true;  ///< A member that another member considers up is not given up as unresponsive.
 };
 
 /// @param replicas intended number of replicas of a group
--- a/src/ledger/group_health.hpp
+++ b/src/ledger/group_health.hpp
@@ -34,7 +34,7 @@
 /// The source from which a member's state is known.
 enum class evidence {
   nothing,     ///< Nothing has been received yet.
-  founding,    ///< The disks of a group in its founding epoch lack no records.
+  founding,    ///< It is a member of the founding epoch, in which the disks of a group lack no records.
   membership,  ///< The membership state of its node.
   requests,    ///< Whether its node answers ledger requests.
   refusal,     ///< It refused a request of this node.
@@ -62,8 +62,8 @@
   std::uint32_t group = 0;
   std::uint64_t epoch = 0;
   std::vector<member_view> members;
-  std::vector<gone_disk>
-      gone;  ///< Disks named by the group that are permanently gone; determined only when there is no majority.
+  /// Disks named by the group that are permanently gone; determined only when there is no majority.
+  std::vector<gone_disk> gone;
 
   std::size_t counting() const;
   std::size_t not_heard() const;
--- a/src/ledger/groups.hpp
+++ b/src/ledger/groups.hpp
@@ -64,10 +64,10 @@
   /// A majority has to be whole: records on a disk that is given up may be held by no other disk.
   bool whole_majority = false;
   std::size_t least_whole = 0;  ///< With whole_majority: minimum number of whole members, however small the group is.
-  std::optional<ReplicaIdentity>
-      let_go;  ///< Member whose node is being drained; it does not count among the whole ones.
-  std::optional<ReplicaIdentity>
-      given_up;  ///< Member considered unreachable or lost; an answer from it ends the decision.
+  /// Member that leaves since its node is being drained or shut down; it does not count among the whole ones.
+  std::optional<ReplicaIdentity> let_go;
+  /// Member considered unreachable or lost; an answer from it ends the decision.
+  std::optional<ReplicaIdentity> given_up;
 };
 
 /// @return the key of the record by which the members of epoch - 1 decide the replicas of @p group at @p epoch.
--- a/src/ledger/place_consents.hpp
+++ b/src/ledger/place_consents.hpp
@@ -18,8 +18,8 @@
   std::uint32_t group = 0;
   std::uint64_t epoch = 0;  ///< The epoch that would name the disk.
   ReplicaIdentity disk;
-  bool although_retiring =
-      false;  ///< The offer stands even if the disk is being drained: the group has no other disk to use.
+  /// The offer stands even if the disk is being drained: the group has no other disk to use.
+  bool although_retiring = false;
   /// Set if the disk is a member that is to decide alone: the other member, which is considered unreachable.
   std::optional<ReplicaIdentity> gives_up;
 };
--- a/src/ledger/replica.hpp
+++ b/src/ledger/replica.hpp
@@ -124,8 +124,8 @@
   /// Called when the state of one group, or the list of groups, cannot be read from this disk. Reading is retried after
   /// a while. May be empty.
   std::function<void(std::optional<std::uint32_t> group, const Error&)> on_unreadable;
-  /// Returns whether this node sees a member up with that disk, or cannot tell; such a member is not given up as
-  /// unresponsive. May be empty.
+  /// Returns whether this node considers a member to be up with that disk, or cannot tell; such a member is not given
+  /// up as unresponsive. May be empty.
   std::function<bool(const ReplicaIdentity&)> is_there;
   /// Called for each answer to the offer of a place; may be empty.
   std::function<void(const place_offer&, wire::PlaceConsent)> on_place_answered;
@@ -144,10 +144,10 @@
     bool votes = false;          ///< The source was admitted when this copy began.
     bool whole = false;          ///< The source was whole when this copy began.
     Timestamp values_since{};    ///< When the source last sent something while values were wanted.
-    std::set<std::uint32_t>
-        deferred_to;                     ///< Other sources from which values are awaited that this source also offered.
-    bool restart_when_complete = false;  ///< Once this copy is complete, it restarts because the source holds all
-                                         ///< records of the leaving members by now.
+    /// Other sources from which values are awaited that this source also offered.
+    std::set<std::uint32_t> deferred_to;
+    /// Once this copy is complete, it restarts because the source holds all records of the leaving members by now.
+    bool restart_when_complete = false;
   };
   /// When pages arrived from a node that is copied from, over all groups.
   struct source_activity {
@@ -200,10 +200,10 @@
 
   void note_latest_epoch(std::uint32_t group, const ReplicaGroup& description);
   wire::ReplicaStatus admit(std::uint32_t group, std::uint64_t epoch, bool for_copy = false) const;
-  /// The same for one record. A member votes at once on the next description of its group, whatever it holds, because
-  /// that record begins with the epoch that names the member.
+  /// Like admit(), for one record. A member votes at once on the next description of its group, whatever it holds,
+  /// because that record begins with the epoch that names the member.
   wire::ReplicaStatus admit_to(const wire::PrepareT& message) const;
-  /// @return whether the decision requested by @p message gives up a member that this node sees up.
+  /// @return whether the decision requested by @p message gives up a member that this node considers up.
   bool gives_up_present_member(const wire::PrepareT& message) const;
   void note_request(std::uint32_t group);
   wire::ReplicaStatus admit_to(const wire::AcceptT& message) const;
@@ -288,8 +288,8 @@
   wire::PlaceConsent answer_offer(const place_offer& offer);
   /// @return whether this disk takes the place; a consent becomes durable with the next flush.
   wire::PlaceConsent answer_place(const place_offer& offer);
-  /// @return whether this disk may decide alone without the other member; only if this node does not see that member up
-  ///         either.
+  /// @return whether this disk may decide alone without the other member; only if this node does not consider that
+  ///         member up either.
   wire::PlaceConsent answer_alone(const place_offer& offer) const;
   /// Notifies the other members that this disk votes from now on.
   void announce_admission(std::uint32_t group);
