--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -1434,7 +1434,7 @@
 }
 
 wire::PlaceConsent Replica::answer_offer(const place_offer& offer) {
-  const wire::PlaceConsent answer = offer.gives_up ? answer_alone(offer) : answer_place(offer);
+  const wire::PlaceConsent answer = offer.gives_up ? answer_sole_decision(offer) : answer_place(offer);
   counters_[std::string("ledger_place_offers_") + name_of(answer) + "_total"]++;
   if (on_place_answered) {
     on_place_answered(offer, answer);
@@ -1447,7 +1447,7 @@
   return readable ? consents_.answer(offer, {self_, disk_}, known_epoch(offer.group)) : wire::PlaceConsent::NotReady;
 }
 
-wire::PlaceConsent Replica::answer_alone(const place_offer& offer) const {
+wire::PlaceConsent Replica::answer_sole_decision(const place_offer& offer) const {
   if (!is(offer.disk)) {
     return wire::PlaceConsent::OtherDisk;
   }
--- a/src/ledger/replica.hpp
+++ b/src/ledger/replica.hpp
@@ -177,7 +177,7 @@
     bool whole = false;         ///< Every record that was confirmed before this epoch is here.
     /// It was whole in an earlier epoch with the same members: it lacks at most what the others have confirmed since.
     bool whole_with_same_members = false;
-    bool whole_in_previous_epoch = false;  ///< It was whole in the previous epoch, whoever its members were.
+    bool whole_in_previous_epoch = false;  ///< It was whole in the previous epoch, regardless of its members.
     ReplicaGroup description;
     /// Bit set of the leaving members that were members in the previous epoch; it covers the first three leaving
     /// members.
@@ -290,7 +290,7 @@
   wire::PlaceConsent answer_place(const place_offer& offer);
   /// @return whether this disk may decide alone without the other member; only if this node does not consider that
   ///         member up either.
-  wire::PlaceConsent answer_alone(const place_offer& offer) const;
+  wire::PlaceConsent answer_sole_decision(const place_offer& offer) const;
   /// Notifies the other members that this disk votes from now on.
   void announce_admission(std::uint32_t group);
   /// @return whether the copies from all member sources, or from all leaving ones, are complete.
