--- a/src/ledger/client.cpp
+++ b/src/ledger/client.cpp
@@ -8,22 +8,25 @@
 namespace madderdeck::ledger {
 namespace {
 constexpr unsigned kMaxBackoffExponent = 6;
-/// Attempts at a change or a scan have 0.4, 0.8 and then 1.6 s: three within the 4 s of an operation.
-constexpr unsigned kMostAttemptDoublings = 2;
-/// Word of a group's next epoch; members that miss it learn it with their next refusal.
-constexpr Duration kNoticeUsefulFor = 4s;
-/// Named records that are read one after the other beside replicas that know no names; the others come with a later
-/// fetch. As many as are settled at once, so that the first ones asked for are among these.
-constexpr std::size_t kMostReadSingly = 8;
-
-/// @return whether @p reply to a question for named records is of a replica that knows no names: it takes the question
-/// for one about a stretch of no length.
-bool knows_no_names(const wire::ScanReplyT& reply) { return reply.truncated || reply.records.empty(); }
-
-bool some_know_no_names(const std::map<std::uint32_t, wire::ScanReplyT>& replies) {
-  return std::any_of(replies.begin(), replies.end(), [](const auto& entry) { return knows_no_names(entry.second); });
-}
-/// Forgets all requests of the scan @p id; those of attempts that are over are kept until it ends.
+/// The timeouts of the attempts at a change or a scan are 0.4, 0.8 and then 1.6 s: three attempts fit into the 4 s of
+/// an operation.
+constexpr unsigned kMaxAttemptDoublings = 2;
+/// How long a notice of a group's next epoch may wait to be sent. Members that miss it learn of the epoch with the next
+/// request that they refuse.
+constexpr Duration kGroupNoticeTimeout = 4s;
+/// Named records that are read individually when a replica does not support fetches by name; the others are left to a
+/// later fetch. As many as are settled concurrently, so that the first requested ones are among them.
+constexpr std::size_t kMaxSingleReads = 8;
+
+/// @return whether @p reply to a fetch comes from a replica that does not support fetches by name: it handles the
+///         request as a scan with limit 0.
+bool lacks_fetch_support(const wire::ScanReplyT& reply) { return reply.truncated || reply.records.empty(); }
+
+bool any_lacks_fetch_support(const std::map<std::uint32_t, wire::ScanReplyT>& replies) {
+  return std::any_of(replies.begin(), replies.end(),
+                     [](const auto& entry) { return lacks_fetch_support(entry.second); });
+}
+/// Removes all requests of the scan @p id. Requests of earlier attempts are kept until the scan ends.
 template <class Requests, class Id>
 void forget_requests(Requests& requests, Id id) {
   std::erase_if(requests, [id](const auto& entry) { return entry.second == id; });
@@ -71,35 +74,35 @@
 void Client::decide_next(std::uint32_t group, const ReplicaGroup& next, const EpochRule& rule,
                          std::function<void(Result<ReplicaGroup>)> done) {
   if (group >= map_.groups.size() || next.epoch != map_.groups[group].epoch + 1) {
-    done(Error{ErrorKind::conflict, "the group has another epoch by now"});
+    done(Error{ErrorKind::conflict, "the epoch of the group has changed"});
     return;
   }
   const wire::Bytes proposal = wire::encode_record(to_wire(next));
   Operation operation;
   operation.key = group_config_key(group, next.epoch);
   operation.rule = rule;
-  operation.only_epoch = map_.groups[group].epoch;
+  operation.required_epoch = map_.groups[group].epoch;
   operation.function = [proposal](const OptionalValue& current) {
     return current ? OptionalValue{} : OptionalValue{proposal};
   };
   operation.done = lifetime_.guard([this, group, done](Result<OptionalValue> result) {
     if (!succeeded(result) || !value_of(result)) {
-      done(succeeded(result) ? Error{ErrorKind::unavailable, "nothing decided"} : error_of(result));
+      done(succeeded(result) ? Error{ErrorKind::unavailable, "no description was decided"} : error_of(result));
       return;
     }
     const auto decided = wire::decode_record<wire::GroupDescriptionT>(*value_of(result));
     if (!decided) {
-      done(Error{ErrorKind::corrupted, "description of a group"});
+      done(Error{ErrorKind::corrupted, "damaged description of a group"});
       return;
     }
     const ReplicaGroup before = map_.groups[group];
     learn(group, from_wire(*decided));
     announce_group(group);
-    // Those that are no members any more learn that they are not.
+    // Former members have to learn that they are no longer members.
     wire::AdoptGroupT notice;
     notice.group = group;
     notice.description = std::make_unique<wire::GroupDescriptionT>(*decided);
-    broadcast(before, notice, kNoticeUsefulFor);
+    broadcast(before, notice, kGroupNoticeTimeout);
     done(map_.groups[group]);
   });
   start_attempt(submit(std::move(operation)));
@@ -107,7 +110,7 @@
 
 void Client::settle_next(std::uint32_t group, std::function<void(Result<ReplicaGroup>)> done) {
   if (group >= map_.groups.size()) {
-    done(Error{ErrorKind::unavailable, "the group is not known"});
+    done(Error{ErrorKind::unavailable, "unknown group"});
     return;
   }
   ReplicaGroup next = map_.groups[group];
@@ -131,7 +134,7 @@
   wire::AdoptGroupT notice;
   notice.group = group;
   notice.description = std::make_unique<wire::GroupDescriptionT>(to_wire(description));
-  broadcast(description, notice, kNoticeUsefulFor);
+  broadcast(description, notice, kGroupNoticeTimeout);
   for (const ReplicaIdentity& leaver : description.leaving) {
     if (const auto address = addresses_(leaver.node)) {
       send_message(environment_, *address, notice);
@@ -193,14 +196,14 @@
     if (const auto address = addresses_(replica.node)) {
       counters_["ledger_requests_sent_total"]++;
       if constexpr (!std::is_same_v<Request, wire::AdoptGroupT>) {
-        note_asked(replica.node);
+        note_request(replica.node);
       }
       send_message_within(useful_for, environment_, *address, request);
     }
   }
 }
 
-void Client::note_asked(const NodeId& node) const {
+void Client::note_request(const NodeId& node) const {
   if (on_asked) {
     on_asked(node);
   }
@@ -227,8 +230,8 @@
     return;
   }
   by_request_.erase(operation.request);
-  if (operation.only_epoch && *operation.only_epoch != map_.groups[map_.group_of(operation.key)].epoch) {
-    finish(id, Error{ErrorKind::conflict, "the group has another epoch by now"});
+  if (operation.required_epoch && *operation.required_epoch != map_.groups[map_.group_of(operation.key)].epoch) {
+    finish(id, Error{ErrorKind::conflict, "the epoch of the group has changed"});
     return;
   }
   operation.request = ++next_request_;
@@ -236,9 +239,9 @@
   operation.group_number = map_.group_of(operation.key);
   operation.group = map_.groups[operation.group_number];
   operation.granted.clear();
-  operation.admitted = 0;
-  operation.whole = 0;
-  operation.say_nothing = 0;
+  operation.admitted_grants = 0;
+  operation.whole_grants = 0;
+  operation.standing_unknown = 0;
   operation.not_whole.clear();
   operation.refused = 0;
   operation.best_accepted = Ballot{};
@@ -263,13 +266,13 @@
   request.epoch = operation.group.epoch;
   request.ballot = to_wire(operation.ballot);
   request.key = operation.key;
-  request.reads_standing = operation.only_epoch.has_value();
+  request.reads_standing = operation.required_epoch.has_value();
   if (operation.rule.given_up) {
     request.gives_up = std::make_unique<wire::ReplicaIdT>();
     request.gives_up->node = operation.rule.given_up->node.str();
     request.gives_up->disk = operation.rule.given_up->disk.str();
   }
-  // Answers to an attempt that is over do not count.
+  // Answers that arrive after the attempt do not count.
   broadcast(operation.group, request, attempt_time(operation));
   arm_attempt_timer(id, operation.request);
 }
@@ -289,19 +292,19 @@
   request.ballot = to_wire(operation.ballot);
   request.key = operation.key;
   request.value = *operation.value;
-  // Of use beyond the attempt: a replica that takes the value late holds one more copy.
+  // Sent even after the attempt ends: a replica that accepts the value late holds one more copy.
   broadcast(operation.group, request, options_.operation_timeout);
   arm_attempt_timer(id, operation.request);
 }
 
 Duration Client::attempt_time(const Operation& operation) const {
-  // The answers of an attempt that is over no longer count: on disks that take longer than the first attempt every one
-  // of them would come too late.
-  const unsigned doublings = std::min(operation.attempts - 1, kMostAttemptDoublings);
+  // Timeouts grow because answers of an expired attempt do not count: with disks slower than the timeout of the first
+  // attempt every answer would arrive too late.
+  const unsigned doublings = std::min(operation.attempts - 1, kMaxAttemptDoublings);
   Duration time = options_.attempt_timeout * (1U << doublings);
   if (operation.phase == Phase::accepting && operation.value) {
     const std::size_t bytes = operation.value->size() * operation.group.replicas.size();
-    time += std::chrono::milliseconds(bytes * 1000 / options_.least_bytes_per_second);
+    time += std::chrono::milliseconds(bytes * 1000 / options_.min_bytes_per_second);
   }
   return std::min(time, std::max<Duration>(operation.deadline - environment_.now(), options_.attempt_timeout));
 }
@@ -331,7 +334,7 @@
 void Client::finish(OperationId id, Result<OptionalValue> result) {
   auto node = operations_.extract(id);
   by_request_.erase(node.mapped().request);
-  if (node.mapped().only_epoch && on_decision) {
+  if (node.mapped().required_epoch && on_decision) {
     on_decision(map_.group_of(node.mapped().key), votes_on(node.mapped()));
   }
   node.mapped().done(std::move(result));
@@ -411,12 +414,12 @@
       message.status == wire::ReplicaStatus::Granted || message.status == wire::ReplicaStatus::BallotTooLow;
   if (operation.phase == Phase::preparing && votes && operation.gives_up(message.replica)) {
     operation.given_up_answer = message.replica;
-    finish(id->second, Error{ErrorKind::conflict, "a member that was to be given up answers"});
+    finish(id->second, Error{ErrorKind::conflict, "the member to be given up has answered"});
     return;
   }
   if (operation.phase == Phase::preparing && message.status == wire::ReplicaStatus::MemberThere) {
     operation.refusals[sender] = message.status;
-    finish(id->second, Error{ErrorKind::conflict, "another member knows the one that was to be given up to be there"});
+    finish(id->second, Error{ErrorKind::conflict, "another member knows that the member to be given up is alive"});
     return;
   }
   if (operation.phase != Phase::preparing || !operation.counts(message.replica)) {
@@ -443,35 +446,36 @@
     operation.value = message.value;
   }
   operation.best_count += accepted == operation.best_accepted ? 1 : 0;
-  // Earlier versions grant a decision only where they are admitted, and do not tell whether they are whole.
+  // Members of earlier versions grant a decision only if they are admitted, and do not report whether they are whole.
   const bool says_nothing = message.standing == wire::ReplicaStanding::NotSaid;
-  operation.say_nothing += says_nothing ? 1 : 0;
-  operation.admitted += says_nothing || message.standing == wire::ReplicaStanding::Admitted ? 1 : 0;
-  operation.whole += message.whole && !operation.lets_go(message.replica) ? 1 : 0;
+  operation.standing_unknown += says_nothing ? 1 : 0;
+  operation.admitted_grants += says_nothing || message.standing == wire::ReplicaStanding::Admitted ? 1 : 0;
+  operation.whole_grants += message.whole && !operation.lets_go(message.replica) ? 1 : 0;
   if (!says_nothing && !message.whole) {
     operation.not_whole.insert(message.replica);
   }
   if (operation.granted.size() >= operation.needed() && operation.is_safe_to_decide()) {
-    promises_complete(id->second, operation);
+    on_promises_complete(id->second, operation);
   }
 }
 
 bool Client::Operation::is_safe_to_decide() const {
   const bool proposed_before = !best_accepted.is_zero();
-  const bool all_of_earlier_versions = say_nothing == granted.size();
-  if (!only_epoch || proposed_before || all_of_earlier_versions) {
+  const bool all_of_earlier_versions = standing_unknown == granted.size();
+  if (!required_epoch || proposed_before || all_of_earlier_versions) {
     return true;
   }
   if (rule.whole_majority) {
-    return whole >= std::max(group.majority(), rule.least_whole);
+    return whole_grants >= std::max(group.majority(), rule.least_whole);
   }
-  return whole > 0 || (!rule.sole && admitted >= needed());
+  return whole_grants > 0 || (!rule.sole && admitted_grants >= needed());
 }
 
-void Client::promises_complete(OperationId id, Operation& operation) {
+void Client::on_promises_complete(OperationId id, Operation& operation) {
   OptionalValue next = operation.function(operation.value);
   if (!next) {
-    // Unchanged. If a majority holds the value already, it is chosen and may be returned.
+    // The function leaves the record unchanged. If a majority holds the value already, it is chosen and may be
+    // returned.
     const bool chosen = operation.best_count >= operation.needed();
     if (chosen || !operation.value) {
       finish(id, operation.value);
@@ -534,9 +538,9 @@
 
 struct Client::MergedPage {
   ScanPage page;
-  std::vector<std::size_t> positions;  ///< Of records that have to be settled.
+  std::vector<std::size_t> positions;  ///< Positions of the records that have to be settled.
   std::size_t unsettled = 0;
-  bool leave_out_failed = false;  ///< Records that cannot be settled now are left out; otherwise the page fails.
+  bool omit_failed = false;  ///< Records that cannot be settled now are left out; otherwise the scan fails.
   std::optional<Error> failure;
 };
 
@@ -588,7 +592,7 @@
   scan.deadline = environment_.now() + std::min(patience, options_.operation_timeout);
   counters_["ledger_scans_total"]++;
   scans_.emplace(id, std::move(scan));
-  // Where it is over before the next attempt would be.
+  // Ends the scan at its deadline, which may come before the next attempt.
   environment_.after(std::min(patience, options_.operation_timeout), lifetime_.guard([this, id] { start_scan(id); }));
   start_scan(id);
 }
@@ -598,8 +602,8 @@
   std::pair<bool, unsigned> best_rank{true, UINT_MAX};
   for (std::uint32_t index = 0; index < group.replicas.size(); ++index) {
     const NodeId& node = group.replicas[index].node;
-    const auto silent = silent_until_.find(node);
-    const bool avoided = silent != silent_until_.end() && environment_.now() < silent->second;
+    const auto silent = avoided_until_.find(node);
+    const bool avoided = silent != avoided_until_.end() && environment_.now() < silent->second;
     const std::pair<bool, unsigned> rank{avoided || !addresses_(node), distance_ ? distance_(node) : 0};
     if (rank < best_rank) {
       best_rank = rank;
@@ -627,10 +631,10 @@
     return;
   }
   begin_attempt(id, scan);
-  ask_for_scan(scan);
+  send_scan_requests(scan);
   const unsigned attempt = scan.attempts;
   const std::uint64_t number = scan.request;
-  const Duration patience = options_.attempt_timeout * (1U << std::min(attempt - 1, kMostAttemptDoublings));
+  const Duration patience = options_.attempt_timeout * (1U << std::min(attempt - 1, kMaxAttemptDoublings));
   environment_.after(patience, lifetime_.guard([this, id, number, attempt] {
     const auto found = scans_.find(id);
     if (found != scans_.end() && found->second.request == number && found->second.attempts == attempt) {
@@ -642,8 +646,8 @@
 void Client::begin_attempt(OperationId id, Scan& scan) {
   counters_["ledger_scan_attempts_total"]++;
   ++scan.attempts;
-  // Only now: a node that has just started may not have known the groups when the scan began, and the first one would
-  // truly say that it has no such record.
+  // Determined for each attempt: a node that has just started may not have known the groups when the scan began, and
+  // another group would answer correctly that it has no such record.
   const std::string& key = scan.keys.empty() ? scan.prefix : scan.keys.front();
   scan.group_number = scan.named_group ? *scan.named_group : map_.group_of(key);
   const ReplicaGroup& group = map_.groups[scan.group_number];
@@ -656,7 +660,7 @@
     scan.replies.clear();
     scan.refused = 0;
   }
-  scan.value_timer = false;
+  scan.value_timer_running = false;
   scan.source = value_source(scan.group);
 }
 
@@ -666,7 +670,7 @@
   return reply == scan.replies.end() || (value_wanted && reply->second.ballots_only);
 }
 
-void Client::ask_for_scan(const Scan& scan) {
+void Client::send_scan_requests(const Scan& scan) {
   wire::ScanRequestT request;
   request.request = scan.request;
   request.group = scan.group_number;
@@ -685,7 +689,7 @@
     }
     request.ballots_only = scan.content == ScanContent::keys || (scan.source && index != *scan.source);
     counters_["ledger_requests_sent_total"]++;
-    note_asked(scan.group.replicas[index].node);
+    note_request(scan.group.replicas[index].node);
     send_message_within(patience, environment_, *address, request);
   }
 }
@@ -697,15 +701,16 @@
   return has_values && scan.replies.size() >= scan.group.majority();
 }
 
-/// The others have answered. Where the nearest one stays silent, the next is asked for the values.
+/// Called when the other replicas have answered. If the nearest one does not answer in time, the values are requested
+/// from the next one.
 void Client::await_value(OperationId id, Scan& scan) {
-  if (scan.replies.size() < scan.group.majority() || scan.value_timer) {
+  if (scan.replies.size() < scan.group.majority() || scan.value_timer_running) {
     return;
   }
-  scan.value_timer = true;
+  scan.value_timer_running = true;
   const std::uint64_t number = scan.request;
   const unsigned attempt = scan.attempts;
-  const auto bytes_time = std::chrono::milliseconds(scan.max_bytes * 1000 / options_.least_value_bytes_per_second);
+  const auto bytes_time = std::chrono::milliseconds(scan.max_bytes * 1000 / options_.min_value_bytes_per_second);
   environment_.after(options_.value_wait + bytes_time, lifetime_.guard([this, id, number, attempt] {
     const auto found = scans_.find(id);
     const bool over = found == scans_.end() || found->second.request != number || found->second.attempts != attempt;
@@ -714,13 +719,13 @@
     }
     counters_["ledger_scan_values_late_total"]++;
     const NodeId silent = found->second.group.replicas[*found->second.source].node;
-    silent_until_[silent] = environment_.now() + options_.avoid_silent;
+    avoided_until_[silent] = environment_.now() + options_.avoid_unresponsive;
     start_scan(id);
   }));
 }
 
 void Client::retry_scan(OperationId id) {
-  // Still known by its number: a member whose refusal comes later is not silent.
+  // The request number stays registered, so that a member whose refusal arrives late is not reported as silent.
   scans_.at(id).request = 0;
   environment_.after(options_.backoff_unit * 4, lifetime_.guard([this, id] { start_scan(id); }));
 }
@@ -803,7 +808,7 @@
          (refusal == scan.latest_refusals.end() ? "silent" : describe_refusal(refusal->second, scan.group.epoch));
 }
 
-std::string Client::count_refusals(const Scan& scan) const {
+std::string Client::describe_refusals(const Scan& scan) const {
   std::string text;
   for (const ReplicaIdentity& member : scan.group.replicas) {
     const auto address = addresses_(member.node);
@@ -826,22 +831,24 @@
     detail += (index == 0 ? ": " : ", ") + describe_member(scan, index);
   }
   detail += "; no majority of replicas answered the scan, attempts " + std::to_string(scan.attempts);
-  const std::string refusals = count_refusals(scan);
+  const std::string refusals = describe_refusals(scan);
   return Error{ErrorKind::unavailable, refusals.empty() ? detail : detail + ", refusals" + refusals.substr(1)};
 }
 
 std::shared_ptr<Client::MergedPage> Client::merge_replies(const Scan& scan) {
   const bool fetched = !scan.keys.empty();
-  // A truncated reply says nothing about keys after its last one; of a fetch the values' reply may end early.
+  // A truncated reply has no information about keys after its last one. The reply with the values of a fetch may end
+  // before the others.
   std::string horizon;
   std::size_t reached = scan.keys.size();
-  // Who knows no names says nothing about the records: each is settled by a read unless the others agree on it.
-  const bool some_know_none = fetched && some_know_no_names(scan.replies);
-  if (some_know_none) {
-    reached = std::min(reached, kMostReadSingly);
+  // A replica that does not support fetches by name has no information about the records: each record is settled by a
+  // read unless the other replicas agree on it.
+  const bool some_lack_fetch_support = fetched && any_lacks_fetch_support(scan.replies);
+  if (some_lack_fetch_support) {
+    reached = std::min(reached, kMaxSingleReads);
   }
   for (const auto& [replica, reply] : scan.replies) {
-    if (fetched && knows_no_names(reply)) {
+    if (fetched && lacks_fetch_support(reply)) {
       continue;
     }
     if (reply.truncated && !reply.records.empty() && (horizon.empty() || reply.records.back()->key < horizon)) {
@@ -854,23 +861,23 @@
   struct Candidate {
     Ballot ballot;
     std::size_t count = 0;
-    const wire::Bytes* value = nullptr;  ///< Null where only its ballot is known.
+    const wire::Bytes* value = nullptr;  ///< Null if only the ballot is known.
   };
   std::map<std::string, Candidate> candidates;
-  for (std::size_t position = 0; some_know_none && position < reached; ++position) {
+  for (std::size_t position = 0; some_lack_fetch_support && position < reached; ++position) {
     candidates.try_emplace(scan.keys[position]);
   }
   for (const auto& [replica, reply] : scan.replies) {
     std::size_t position = 0;
     for (const auto& record : reply.records) {
       const bool beyond =
-          fetched ? position++ >= reached || knows_no_names(reply) : !horizon.empty() && record->key > horizon;
+          fetched ? position++ >= reached || lacks_fetch_support(reply) : !horizon.empty() && record->key > horizon;
       if (beyond) {
         break;
       }
       const Ballot ballot = from_wire(record->accepted);
       if (fetched && ballot.is_zero()) {
-        continue;  // not held there
+        continue;  // This replica does not hold the record.
       }
       const auto [known, first] = candidates.try_emplace(record->key, Candidate{ballot});
       Candidate& candidate = known->second;
@@ -884,7 +891,7 @@
     }
   }
   auto merged = std::make_shared<MergedPage>();
-  merged->leave_out_failed = fetched;
+  merged->omit_failed = fetched;
   merged->page.next_after = fetched ? (reached < scan.keys.size() ? scan.keys[reached] : "") : horizon;
   for (const auto& [key, candidate] : candidates) {
     const bool has_value = keys_only || candidate.value != nullptr;
@@ -900,18 +907,19 @@
   auto node = scans_.extract(id);
   Scan& scan = node.mapped();
   const std::shared_ptr<MergedPage> merged = merge_replies(scan);
-  counters_["ledger_fetches_not_understood_total"] += !scan.keys.empty() && some_know_no_names(scan.replies) ? 1 : 0;
-  if (merged->positions.size() > options_.most_settled_at_once && !scan.keys.empty()) {
-    // The others come with a later fetch.
-    for (std::size_t number = options_.most_settled_at_once; number < merged->positions.size(); ++number) {
+  counters_["ledger_fetches_not_understood_total"] +=
+      !scan.keys.empty() && any_lacks_fetch_support(scan.replies) ? 1 : 0;
+  if (merged->positions.size() > options_.max_concurrent_settles && !scan.keys.empty()) {
+    // The remaining records are left to a later fetch.
+    for (std::size_t number = options_.max_concurrent_settles; number < merged->positions.size(); ++number) {
       merged->page.records[merged->positions[number]].key.clear();
     }
-    merged->positions.resize(options_.most_settled_at_once);
+    merged->positions.resize(options_.max_concurrent_settles);
   }
   settle(merged, std::move(scan.done));
 }
 
-/// A value that only some replicas hold may not be chosen: a read settles it.
+/// Settles the records whose value may not be chosen because only some replicas hold it, with a read each.
 void Client::settle(const std::shared_ptr<MergedPage>& merged, ScanDone scan_done) {
   const auto finish = [merged](const ScanDone& done) {
     if (merged->failure) {
@@ -932,7 +940,7 @@
     read(merged->page.records[position].key, [merged, position, done, finish](Result<OptionalValue> result) {
       if (succeeded(result) && value_of(result)) {
         merged->page.records[position].value = *value_of(result);
-      } else if (succeeded(result) || merged->leave_out_failed) {
+      } else if (succeeded(result) || merged->omit_failed) {
         merged->page.records[position].key.clear();
       } else {
         merged->failure = error_of(result);
--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -10,22 +10,23 @@
 
 constexpr std::uint32_t kCopyPageRecords = 256;
 constexpr std::size_t kPageBytes = 1 << 20;
-/// Read from the disk for one page, also where only ballots are sent: a node answers nothing else meanwhile.
+/// Limit for the bytes read from the disk for one page, also if only ballots are sent: the node answers nothing else
+/// meanwhile.
 constexpr std::size_t kPageReadBytes = 4 << 20;
-/// Of values in one answer to a replica that copies: a reader's answer waits behind it.
+/// Limit for the values in one answer to a replica that copies: answers to readers wait behind it.
 constexpr std::size_t kCopyPageBytes = 512 << 10;
-/// For how long the answer to a scan is worth sending where its reader does not say.
-constexpr Duration kScanPatience = 4s;
-constexpr Duration kCopyRetry = 200ms;
-constexpr Duration kReadAgain = 1s;  ///< After states of groups could not be read.
-/// A page that has not come is asked for again after this long, then after twice as long, and so on.
-constexpr Duration kCopyPatience = 400ms;
-constexpr Duration kValuesPatience = 1s;  ///< The same where values were asked for.
-constexpr Duration kMostCopyPatience = 3200ms;
-constexpr Duration kLeftValuesPatience = 2s;  ///< So long a source may leave values unsent that others offer, too.
-/// Pages of all groups together that are under way to a replica that copies: 8 MB at most.
-constexpr std::size_t kMostCopiesAtOnce = 16;
-constexpr char kFirstCursor[] = "p:";  ///< Where a copy begins: with the first promise.
+/// How long the answer to a scan is worth sending if the reader does not specify it.
+constexpr Duration kDefaultScanTimeout = 4s;
+constexpr Duration kCopyRetryInterval = 200ms;
+constexpr Duration kStateRereadDelay = 1s;  ///< Delay before group states that could not be read are read again.
+/// A page that has not arrived is requested again after this time, which doubles with each further request.
+constexpr Duration kCopyReplyTimeout = 400ms;
+constexpr Duration kValuesReplyTimeout = 1s;  ///< The same for requests for values.
+constexpr Duration kMaxCopyReplyTimeout = 3200ms;
+constexpr Duration kUnsentValuesTimeout = 2s;  ///< How long a source may leave values unsent that others offer as well.
+/// Limit for outstanding pages over all groups of a replica that copies: 8 MB at most.
+constexpr std::size_t kMaxOutstandingPages = 16;
+constexpr char kFirstCursor[] = "p:";  ///< Cursor at which a copy begins: the first promise.
 
 std::string group_prefix(char area, std::uint32_t group) {
   char text[16];
@@ -37,28 +38,28 @@
 std::string state_key(std::uint32_t group) { return group_prefix('g', group); }
 std::string marks_key(std::uint32_t group) { return group_prefix('m', group); }
 
-/// Marks on a disk: one byte of these, then the epoch that they were made in, least byte first.
+/// Marks as stored: one byte of these flags, then the epoch in which they were written, little-endian.
 constexpr std::uint8_t kReturning = 1;
 constexpr std::uint8_t kHoldsLeaving = 2;
 constexpr std::uint8_t kWhole = 4;
-constexpr std::uint8_t kWholeBefore = 8;
-constexpr std::uint8_t kWholeLast = 16;
-constexpr unsigned kFirstFreshLeaverBit = 5;  ///< From here on a bit for each of the first leaving members.
-constexpr unsigned kMostFreshLeavers = 3;
-constexpr std::uint8_t kFreshLeavers = 0xE0;
+constexpr std::uint8_t kWholeWithSameMembers = 8;
+constexpr std::uint8_t kWholeInPreviousEpoch = 16;
+constexpr unsigned kFirstRecentLeaverBit = 5;  ///< First of the bits for the first leaving members.
+constexpr unsigned kMaxRecentLeavers = 3;
+constexpr std::uint8_t kRecentLeaversMask = 0xE0;
 constexpr std::size_t kMarksBytes = 1 + sizeof(std::uint64_t);
 constexpr unsigned kByteBits = 8;
 
-/// @return the bit of the leaving member at @p position; zero where there is none for it.
-std::uint8_t fresh_leaver_bit(std::size_t position) {
-  return position < kMostFreshLeavers ? static_cast<std::uint8_t>(1U << (kFirstFreshLeaverBit + position)) : 0;
+/// @return the bit of the leaving member at @p position; zero if it has none.
+std::uint8_t recent_leaver_bit(std::size_t position) {
+  return position < kMaxRecentLeavers ? static_cast<std::uint8_t>(1U << (kFirstRecentLeaverBit + position)) : 0;
 }
 
-/// @return the bits of those leaving members of @p now that were members of @p before.
-std::uint8_t fresh_leavers_of(const ReplicaGroup& now, const ReplicaGroup& before) {
+/// @return the bits of the leaving members of @p now that were members of @p before.
+std::uint8_t recent_leavers_of(const ReplicaGroup& now, const ReplicaGroup& before) {
   std::uint8_t bits = 0;
   for (std::size_t position = 0; position < now.leaving.size(); ++position) {
-    bits |= before.index_of(now.leaving[position]) ? fresh_leaver_bit(position) : 0;
+    bits |= before.index_of(now.leaving[position]) ? recent_leaver_bit(position) : 0;
   }
   return bits;
 }
@@ -77,14 +78,14 @@
   return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
 }
 
-/// An accepted value where it is stored.
+/// A view of a stored accepted value.
 struct accepted_view {
   Ballot ballot;
   std::string_view value;
 };
 
-/// Checks an accepted value in place: values may have megabytes, and most readers want its ballot.
-/// @return nothing where the bytes are damaged.
+/// Checks an accepted value in place: values may be megabytes large, and most callers need only the ballot.
+/// @return nothing if the bytes are damaged.
 std::optional<accepted_view> view_accept(std::string_view bytes) {
   const auto* data = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(data, bytes.size());
@@ -131,13 +132,13 @@
     return true;
   });
   const Status consents = consents_.restore();
-  groups_unread_ = !succeeded(read) || !succeeded(consents);
-  if (groups_unread_) {
+  group_list_unread_ = !succeeded(read) || !succeeded(consents);
+  if (group_list_unread_) {
     counters_["ledger_group_states_unreadable_total"]++;
     if (on_unreadable) {
       on_unreadable(std::nullopt, error_of(succeeded(read) ? consents : read));
     }
-    schedule_reading_again();
+    schedule_state_reread();
     return;
   }
   for (const std::uint32_t group : groups) {
@@ -159,8 +160,8 @@
   progress.index = *number;
   progress.former = *number >= progress.description.replicas.size();
   progress_[group] = std::move(progress);
-  asked_at_.try_emplace(group, environment_.now());
-  tell_epoch(group, progress_.at(group), progress_.at(group));
+  last_requested_at_.try_emplace(group, environment_.now());
+  report_epoch(group, progress_.at(group), progress_.at(group));
   start_copy(group);
 }
 
@@ -171,26 +172,26 @@
   if (first && on_unreadable) {
     on_unreadable(group, error);
   }
-  schedule_reading_again();
+  schedule_state_reread();
 }
 
-void Replica::schedule_reading_again() {
-  if (reading_again_) {
+void Replica::schedule_state_reread() {
+  if (reread_scheduled_) {
     return;
   }
-  reading_again_ = true;
-  environment_.after(kReadAgain, lifetime_.guard([this] {
-    reading_again_ = false;
-    read_again();
+  reread_scheduled_ = true;
+  environment_.after(kStateRereadDelay, lifetime_.guard([this] {
+    reread_scheduled_ = false;
+    reread_states();
   }));
 }
 
-void Replica::read_again() {
+void Replica::reread_states() {
   if (suspended_) {
-    return;  // resume() reads everything
+    return;  // resume() reads everything again.
   }
   const std::map<std::uint32_t, ReplicaGroup> heard = std::exchange(unreadable_, {});
-  if (groups_unread_) {
+  if (group_list_unread_) {
     restore();
   } else {
     for (const auto& [group, description] : heard) {
@@ -208,7 +209,7 @@
   suspended_ = true;
   progress_.clear();
   unreadable_.clear();
-  groups_unread_ = false;
+  group_list_unread_ = false;
   consents_.forget();
 }
 
@@ -217,25 +218,25 @@
   restore();
 }
 
-void Replica::take_word(std::uint32_t group, const ReplicaGroup& description) {
-  GroupWord& word = words_[group];
-  if (description.epoch < word.epoch) {
+void Replica::note_latest_epoch(std::uint32_t group, const ReplicaGroup& description) {
+  LatestEpoch& latest = latest_epochs_[group];
+  if (description.epoch < latest.epoch) {
     return;
   }
-  word.epoch = description.epoch;
-  word.names_former_disk =
+  latest.epoch = description.epoch;
+  latest.names_former_disk =
       std::any_of(description.replicas.begin(), description.replicas.end(),
                   [this](const ReplicaIdentity& member) { return member.node == self_ && member.disk != disk_; });
 }
 
 void Replica::adopt_group(std::uint32_t group, const ReplicaGroup& description) {
-  take_word(group, description);
+  note_latest_epoch(group, description);
   if (suspended_) {
     return;
   }
   auto known = progress_.find(group);
   const bool first_sight = known == progress_.end();
-  if (groups_unread_ || unreadable_.contains(group)) {
+  if (group_list_unread_ || unreadable_.contains(group)) {
     ReplicaGroup& heard = unreadable_[group];
     heard = description.epoch > heard.epoch ? description : heard;
     return;
@@ -250,7 +251,7 @@
     return;
   }
   const bool later = description.epoch > progress.epoch;
-  const bool undescribed = progress.description.replicas.empty();  // kept by an earlier version
+  const bool undescribed = progress.description.replicas.empty();  // Stored by an earlier version.
   const ReplicaGroup before = progress.description;
   const GroupProgress progress_before = progress;
   if (later || (undescribed && description.epoch == progress.epoch)) {
@@ -262,7 +263,7 @@
       on_epoch({group, progress.epoch, description, replica_role::left, copy_reason::none});
     }
     progress.description = before;
-    leave_place(group, std::move(progress));
+    leave_group(group, std::move(progress));
     return;
   }
   const bool was_former = progress.former;
@@ -272,23 +273,23 @@
   if (later) {
     enter_epoch(group, progress, before, was_former);
   }
-  // What a member held that has gone may stand with one of the others alone.
+  // The records of a member that is gone may be held by only one of the others.
   const bool fewer = progress.description.replicas.size() < before.replicas.size() ||
                      !all_in(before.leaving, progress.description.leaving);
   const bool lacks_something =
       first_sight || !votes(progress) || !progress.whole || fewer || !progress.description.leaving.empty();
   const bool copies = lacks_something && guards_.admission_before_voting;
   progress_[group] = std::move(progress);
-  asked_at_.try_emplace(group, environment_.now());
+  last_requested_at_.try_emplace(group, environment_.now());
   if (later || first_sight) {
-    tell_epoch(group, progress_before, progress_.at(group));
+    report_epoch(group, progress_before, progress_.at(group));
   }
   if (copies) {
     start_copy(group);
   }
 }
 
-void Replica::leave_place(std::uint32_t group, GroupProgress progress) {
+void Replica::leave_group(std::uint32_t group, GroupProgress progress) {
   if (progress.synchronized && !progress.returning) {
     progress.returning = true;
     store_marks(group, progress);
@@ -299,29 +300,29 @@
 
 void Replica::enter_epoch(std::uint32_t group, GroupProgress& progress, const ReplicaGroup& before, bool was_former) {
   const ReplicaGroup& now = progress.description;
-  // Its sources are numbered by the description before: one that was leaving may be gone.
+  // The sources are numbered by the previous description: a leaving member may be gone now.
   progress.copying.clear();
-  // A founding member starts with an empty, complete copy. Whoever joins later has to copy.
+  // A founding member starts with an empty, complete copy. A disk that joins later has to copy.
   constexpr std::uint64_t kFoundingEpoch = 1;
   const bool founding = progress.epoch == 0 && now.epoch == kFoundingEpoch;
-  // In an epoch that this disk has not seen it may have been no member.
+  // In an epoch that this disk has missed it may not have been a member.
   const bool followed = now.epoch == progress.epoch + 1;
   progress.holds_leaving =
       now.leaving.empty() || (progress.holds_leaving && followed && all_in(now.leaving, before.leaving));
-  // What was confirmed by a member that is lost and one that leaves may stand with that one alone, where half of the
-  // members could decide.
+  // If half of the members could decide, a record that was confirmed by a lost member and a leaving one may be held by
+  // the leaving one alone.
   const bool half_could_decide = before.replicas.size() % 2 == 0;
   const bool lacks_confirmed =
       half_could_decide && !progress.holds_leaving && !progress.whole && !all_in(before.replicas, now.all());
   const bool copies_again = progress.returning || !followed || lacks_confirmed || was_former;
   const bool kept_all = followed && !progress.returning && !lacks_confirmed;
-  const bool was_whole = progress.whole || progress.whole_before;
-  // Where all make a majority, nothing was confirmed without this one.
+  const bool was_whole = progress.whole || progress.whole_with_same_members;
+  // If a majority needs all members, nothing was confirmed without this one.
   const bool took_part_in_all = before.majority() == before.replicas.size();
   progress.whole = founding || (progress.whole && kept_all && took_part_in_all);
-  progress.whole_last = was_whole && kept_all;
-  progress.whole_before = progress.whole_last && before.replicas == now.replicas;
-  progress.fresh_leavers = followed ? fresh_leavers_of(now, before) : 0;
+  progress.whole_in_previous_epoch = was_whole && kept_all;
+  progress.whole_with_same_members = progress.whole_in_previous_epoch && before.replicas == now.replicas;
+  progress.recent_leavers = followed ? recent_leavers_of(now, before) : 0;
   progress.returning = progress.synchronized && copies_again && guards_.admission_before_voting;
   progress.awaits_flush = false;
   progress.epoch = now.epoch;
@@ -370,16 +371,16 @@
 std::vector<Replica::unasked> Replica::list_unasked(Timestamp before) const {
   std::vector<unasked> found;
   for (const auto& [group, progress] : progress_) {
-    const auto asked = asked_at_.find(group);
-    if (asked != asked_at_.end() && asked->second <= before) {
+    const auto asked = last_requested_at_.find(group);
+    if (asked != last_requested_at_.end() && asked->second <= before) {
       found.push_back({group, progress.epoch, asked->second});
     }
   }
   return found;
 }
 
-void Replica::note_asked(std::uint32_t group) {
-  if (const auto entry = asked_at_.find(group); entry != asked_at_.end()) {
+void Replica::note_request(std::uint32_t group) {
+  if (const auto entry = last_requested_at_.find(group); entry != last_requested_at_.end()) {
     entry->second = environment_.now();
   }
 }
@@ -436,7 +437,7 @@
 
 wire::ReplicaStatus Replica::admit_to(const wire::PrepareT& message) const {
   const wire::ReplicaStatus status = admit(message.group, message.epoch);
-  // A proposer of an earlier version takes whoever grants it for a member that votes on records.
+  // A proposer of an earlier version assumes that a member that grants also votes on records.
   const bool decides = status == wire::ReplicaStatus::NotReady && message.reads_standing &&
                        is_decision_of_member(message.group, message.epoch, message.key);
   const wire::ReplicaStatus admitted = decides ? wire::ReplicaStatus::Granted : status;
@@ -466,7 +467,7 @@
   if (!succeeded(found)) {
     return error_of(found);
   }
-  return sound ? Result<Ballot>(promised) : Error{ErrorKind::corrupted, "promise of " + key};
+  return sound ? Result<Ballot>(promised) : Error{ErrorKind::corrupted, "damaged promise of " + key};
 }
 
 Result<Replica::StoredRecord> Replica::load(std::uint32_t group, const std::string& key, bool with_value) const {
@@ -490,7 +491,7 @@
     return error_of(accept);
   }
   if (!value_sound) {
-    return Error{ErrorKind::corrupted, "value of " + key};
+    return Error{ErrorKind::corrupted, "damaged value of " + key};
   }
   return record;
 }
@@ -515,17 +516,17 @@
   state.epoch = progress.epoch;
   state.complete = progress.synchronized;
   state.description = std::make_unique<wire::GroupDescriptionT>(to_wire(progress.description));
-  // An epoch on the disk without its marks would let this replica vote too early.
+  // If the epoch were stored without its marks, this replica would vote too early after a restart.
   storage_.put_together({{marks_key(group), encode_marks(progress)}, {state_key(group), wire::encode_record(state)}});
   storage_.flush([](const Status&) {});
 }
 
 wire::Bytes Replica::encode_marks(const GroupProgress& progress) {
   wire::Bytes marks(kMarksBytes);
-  marks[0] =
-      static_cast<std::uint8_t>((progress.returning ? kReturning : 0) | (progress.holds_leaving ? kHoldsLeaving : 0) |
-                                (progress.whole ? kWhole : 0) | (progress.whole_before ? kWholeBefore : 0) |
-                                (progress.whole_last ? kWholeLast : 0) | progress.fresh_leavers);
+  marks[0] = static_cast<std::uint8_t>(
+      (progress.returning ? kReturning : 0) | (progress.holds_leaving ? kHoldsLeaving : 0) |
+      (progress.whole ? kWhole : 0) | (progress.whole_with_same_members ? kWholeWithSameMembers : 0) |
+      (progress.whole_in_previous_epoch ? kWholeInPreviousEpoch : 0) | progress.recent_leavers);
   for (std::size_t byte = 1; byte < kMarksBytes; ++byte) {
     marks[byte] = static_cast<std::uint8_t>(progress.epoch >> ((byte - 1) * kByteBits));
   }
@@ -543,7 +544,7 @@
     return error_of(stored);
   }
   if (!value_of(stored) || value_of(stored)->size() != kMarksBytes) {
-    return Ok{};  // of an earlier version
+    return Ok{};  // Written by an earlier version.
   }
   const wire::Bytes& marks = *value_of(stored);
   std::uint64_t epoch = 0;
@@ -554,9 +555,9 @@
   if (epoch == progress.epoch) {
     progress.holds_leaving = progress.holds_leaving || (marks[0] & kHoldsLeaving) != 0;
     progress.whole = (marks[0] & kWhole) != 0;
-    progress.whole_before = (marks[0] & kWholeBefore) != 0;
-    progress.whole_last = (marks[0] & kWholeLast) != 0;
-    progress.fresh_leavers = marks[0] & kFreshLeavers;
+    progress.whole_with_same_members = (marks[0] & kWholeWithSameMembers) != 0;
+    progress.whole_in_previous_epoch = (marks[0] & kWholeInPreviousEpoch) != 0;
+    progress.recent_leavers = marks[0] & kRecentLeaversMask;
   }
   return Ok{};
 }
@@ -572,7 +573,7 @@
   }
   const auto state = wire::decode_record<wire::GroupStateT>(*value_of(stored));
   if (!state) {
-    return Error{ErrorKind::corrupted, "state of group " + std::to_string(group)};
+    return Error{ErrorKind::corrupted, "damaged state of group " + std::to_string(group)};
   }
   progress.epoch = state->epoch;
   progress.synchronized = state->complete;
@@ -617,7 +618,7 @@
 template <class Request, class Reply>
 std::optional<Replica::StoredRecord> Replica::open_request(const PeerAddress& sender, const Request& message,
                                                            Reply& reply, bool with_value) {
-  note_asked(message.group);
+  note_request(message.group);
   reply.request = message.request;
   reply.epoch = message.epoch;
   reply.status = admit_to(message);
@@ -659,7 +660,7 @@
   if (message.key == group_config_key(message.group, message.epoch + 1)) {
     reply.standing = standing(message.group, message.epoch);
     const GroupProgress& progress = progress_.at(message.group);
-    reply.whole = progress.whole || progress.whole_before;
+    reply.whole = progress.whole || progress.whole_with_same_members;
   }
   reply.accepted = to_wire(record->accepted);
   reply.value = record->value;
@@ -726,7 +727,7 @@
   std::size_t bytes = 0;
   std::size_t read_bytes = 0;
   for (const std::string& key : query.keys) {
-    // As many as the one that sends their values reaches at most; the answers are compared up to the shortest.
+    // The same limit as for the replica that sends the values, since answers are compared up to the shortest one.
     if (read_bytes >= kPageReadBytes) {
       break;
     }
@@ -752,7 +753,7 @@
 }
 
 void Replica::handle(const PeerAddress& sender, const wire::ScanRequestT& message) {
-  note_asked(message.group);
+  note_request(message.group);
   wire::ScanReplyT reply;
   reply.request = message.request;
   reply.epoch = message.epoch;
@@ -776,10 +777,11 @@
     refuse(sender, std::move(reply));
     return;
   }
-  // A reader that has left needs no answer; others wait behind its values.
-  const Duration useful_for = message.patience_ms == 0 ? kScanPatience : std::chrono::milliseconds(message.patience_ms);
+  // A reader that has given up needs no answer, and other messages wait behind its values.
+  const Duration useful_for =
+      message.patience_ms == 0 ? kDefaultScanTimeout : std::chrono::milliseconds(message.patience_ms);
   const Timestamp useful_until = environment_.now() + useful_for;
-  // A reader takes what a majority tells for chosen.
+  // A reader treats what a majority reports as chosen, so it has to be durable.
   when_durable([this, sender, useful_until, reply = std::move(reply)]() mutable {
     const Timestamp now = environment_.now();
     if (now < useful_until) {
@@ -790,9 +792,9 @@
 
 // --- copying to a new or returning replica -------------------------------------------------
 // The cursor of a copy runs first over the promises ("p:" + key), then over the accepted
-// values ("a:" + key); both are merged by taking the greater ballot. Pages hold ballots only:
-// values are asked for where the source has a later one, so that a replica that comes back with
-// its disk, or has copied from another source already, is sent no value twice.
+// values ("a:" + key); both are merged by taking the greater ballot. Pages contain only ballots.
+// Values are requested only if the source has a later one, so that no value is sent twice to a
+// replica that returns with its disk or has already copied from another source.
 
 void Replica::start_copy(std::uint32_t group) {
   GroupProgress& progress = progress_.at(group);
@@ -817,25 +819,25 @@
   }
   const Timestamp now = environment_.now();
   const Duration waited = now - source.asked_at;
-  const auto heard = heard_of_sources_.find(address);
-  if (waited < source.patience || heard == heard_of_sources_.end()) {
-    return waited < source.patience;
+  const auto heard = source_activities_.find(address);
+  if (waited < source.reply_timeout || heard == source_activities_.end()) {
+    return waited < source.reply_timeout;
   }
   const source_activity& came = heard->second;
   const bool overtaken = (source.wanted.empty() ? came.ballots_asked_at : came.values_asked_at) > source.asked_at;
-  // Pages of other groups show that it is at work: this one waits behind them, and so would another.
-  return !overtaken && now - came.page_came_at < source.patience && waited < kMostCopyPatience;
+  // Pages of other groups show that the source is working: this request waits behind them, and so would another one.
+  return !overtaken && now - came.page_came_at < source.reply_timeout && waited < kMaxCopyReplyTimeout;
 }
 
 void Replica::note_page(const PeerAddress& address, const CopySource& source) {
-  source_activity& came = heard_of_sources_[address];
+  source_activity& came = source_activities_[address];
   came.page_came_at = environment_.now();
   (source.wanted.empty() ? came.ballots_asked_at : came.values_asked_at) = source.asked_at;
 }
 
 void Replica::request_copies() {
   std::size_t under_way = 0;
-  std::vector<std::pair<std::uint32_t, std::uint32_t>> due;  // group and number of the source
+  std::vector<std::pair<std::uint32_t, std::uint32_t>> due;  // Group number and source number.
   for (const auto& [group, progress] : progress_) {
     for (const auto& [number, source] : progress.copying) {
       const auto address = addresses_(progress.description.source(number).node);
@@ -853,14 +855,14 @@
     return source_of(left).asked_at < source_of(right).asked_at;
   });
   for (const auto& one : due) {
-    if (under_way >= kMostCopiesAtOnce) {
+    if (under_way >= kMaxOutstandingPages) {
       return;
     }
     ++under_way;
     CopySource& source = source_of(one);
     const bool again = source.asked_at.count() != 0;
-    const Duration first = source.wanted.empty() ? kCopyPatience : kValuesPatience;
-    source.patience = again ? std::min(source.patience * 2, kMostCopyPatience) : first;
+    const Duration first = source.wanted.empty() ? kCopyReplyTimeout : kValuesReplyTimeout;
+    source.reply_timeout = again ? std::min(source.reply_timeout * 2, kMaxCopyReplyTimeout) : first;
     const GroupProgress& progress = progress_.at(one.first);
     request_page(*addresses_(progress.description.source(one.second).node), one.first, progress, source);
   }
@@ -877,7 +879,8 @@
   for (const auto& [key, ballot] : source.wanted) {
     request.keys.push_back(key);
   }
-  // A source that does not know this epoch yet learns it here, and fences the one before.
+  // A source that does not know this epoch yet learns it from this description and then rejects requests of earlier
+  // epochs.
   request.description = std::make_unique<wire::GroupDescriptionT>(to_wire(progress.description));
   send_message(environment_, from, std::move(request));
 }
@@ -887,31 +890,31 @@
     return;
   }
   copy_retry_scheduled_ = true;
-  environment_.after(kCopyRetry, lifetime_.guard([this] {
+  environment_.after(kCopyRetryInterval, lifetime_.guard([this] {
     copy_retry_scheduled_ = false;
     bool unfinished = false;
     for (const auto& [group, progress] : progress_) {
       unfinished = unfinished || !progress.copying.empty();
     }
     if (unfinished) {
-      take_back_values();
-      ask_how_sources_stand();
+      reassign_overdue_values();
+      request_source_standings();
       request_copies();
       schedule_copy_retry();
     }
   }));
 }
 
-void Replica::take_back_values() {
+void Replica::reassign_overdue_values() {
   const Timestamp now = environment_.now();
   for (auto& [group, progress] : progress_) {
     for (auto& [number, silent] : progress.copying) {
-      if (silent.wanted.empty() || now - silent.values_since < kLeftValuesPatience) {
+      if (silent.wanted.empty() || now - silent.values_since < kUnsentValuesTimeout) {
         continue;
       }
       silent.wanted.clear();
       for (auto& [other, source] : progress.copying) {
-        if (source.left_to.contains(number)) {
+        if (source.deferred_to.contains(number)) {
           source = CopySource{kFirstCursor, false};
         }
       }
@@ -919,7 +922,7 @@
   }
 }
 
-void Replica::ask_how_sources_stand() {
+void Replica::request_source_standings() {
   for (const auto& [group, progress] : progress_) {
     if (progress.whole || progress.former) {
       continue;
@@ -949,10 +952,10 @@
   if (progress.holds_leaving || !is_member || source == progress.copying.end() || source->second.holds_leaving) {
     return;
   }
-  // What it took from the leaving ones came after its pages, maybe. The copy under way goes on first: what it brings is
-  // not sent twice.
+  // The source may have received records of the leaving members after sending its pages. The copy in progress is
+  // completed first: what it brings is not sent twice.
   if (!source->second.complete) {
-    source->second.copy_again = true;
+    source->second.restart_when_complete = true;
     return;
   }
   copy_from_start(source->second);
@@ -965,7 +968,7 @@
   if (progress.whole || source == progress.copying.end() || source->second.whole || !source->second.complete) {
     return;
   }
-  // What it took to become whole came after its pages, maybe.
+  // The source may have received the records that made it whole after sending its pages.
   const bool holds_leaving = source->second.holds_leaving;
   source->second = CopySource{kFirstCursor, false};
   source->second.holds_leaving = holds_leaving;
@@ -994,14 +997,14 @@
       const std::string after = message.after.size() > 2 ? message.after.substr(2) : "";
       auto records = page({message.group, "", after, message.limit, promises, false}, reply.truncated);
       if (!succeeded(records)) {
-        return;  // asked for again; a part would count as everything
+        return;  // The page will be requested again; a partial one would be taken as complete.
       }
       reply.records = std::move(value_of(records));
     } else {
       reply.records = records_of({message.group, message.keys, kCopyPageBytes, true});
     }
   }
-  // What is copied must not be less durable here than it will be there.
+  // The records have to be durable here before they can become durable at the copying replica.
   reply_when_durable(sender, std::move(reply));
 }
 
@@ -1038,12 +1041,12 @@
     return;
   }
   if (source_entry->second.after != message.after) {
-    take_late_values(message.group, message);
+    merge_late_values(message.group, message);
     return;
   }
   if (message.status == wire::ReplicaStatus::NotReady) {
-    // Its disk is new, too, and has confirmed nothing yet: what is needed stands with the others. Waiting for each
-    // other would not end.
+    // The disk of the source is new as well and has confirmed nothing yet, so the required records are held by the
+    // others. Two new disks waiting for each other would never finish.
     source_entry->second.complete = true;
     source_entry->second.wanted.clear();
     counters_["ledger_copy_sources_new_total"]++;
@@ -1057,28 +1060,29 @@
   CopySource& source = source_entry->second;
   note_page(sender, source);
   if (message.ballots_only != source.wanted.empty()) {
-    take_late_values(message.group, message);
+    merge_late_values(message.group, message);
     return;
   }
   note_standing(source, message);
   note_page(message.group, progress.description.source(message.replica), message);
   if (message.ballots_only) {
-    take_ballots(message.group, source, message);
-  } else if (const values_taken taken = take_values(message.group, source, message);
-             taken == values_taken::lost_there) {
-    // Damaged there since. Others may have left it to this source, so all are asked again.
+    process_ballots(message.group, source, message);
+  } else if (const values_result taken = process_values(message.group, source, message);
+             taken == values_result::lost_at_source) {
+    // The value has been damaged at the source since it was offered. It may not have been requested from others because
+    // of this source, so the copy restarts from all sources.
     counters_["ledger_copies_restarted_total"]++;
     start_copy(message.group);
     return;
-  } else if (taken == values_taken::known) {
-    return;  // the second answer to a page that was asked for twice: the question after it is under way
+  } else if (taken == values_result::known) {
+    return;  // Second answer to a page that was requested twice: the next request has been sent already.
   }
   source.values_since = environment_.now();
   if (source.wanted.empty()) {
     source.complete = source.next_after.empty();
     source.after = source.next_after;
   }
-  if (source.complete && source.copy_again) {
+  if (source.complete && source.restart_when_complete) {
     copy_from_start(source);
   }
   if (source.complete) {
@@ -1086,7 +1090,7 @@
     request_copies();
     return;
   }
-  source.patience = source.wanted.empty() ? kCopyPatience : kValuesPatience;
+  source.reply_timeout = source.wanted.empty() ? kCopyReplyTimeout : kValuesReplyTimeout;
   request_page(sender, message.group, progress, source);
 }
 
@@ -1098,15 +1102,15 @@
   }
 }
 
-void Replica::take_ballots(std::uint32_t group, CopySource& source, const wire::CopyReplyT& page) {
+void Replica::process_ballots(std::uint32_t group, CopySource& source, const wire::CopyReplyT& page) {
   const std::string area = page.after.substr(0, 2);
   const bool promises = area == "p:";
   for (const auto& record : page.records) {
     if (is_decision(record->key)) {
-      continue;  // each member votes on it by its own record
+      continue;  // Each member votes on a decision by its own record, so decisions are not copied.
     }
     if (promises) {
-      // Their values are not looked at: a page of promises is as small as the values beside them are large.
+      // The values are not read: a page of promises is small however large the values of these records are.
       merge_promise(group, *record);
       continue;
     }
@@ -1117,7 +1121,7 @@
       continue;
     }
     if (const auto other = awaited_from(progress_.at(group), record->key, there)) {
-      source.left_to.insert(*other);
+      source.deferred_to.insert(*other);
     } else {
       source.wanted.emplace(record->key, there);
     }
@@ -1139,7 +1143,7 @@
   return source == progress.copying.end() ? std::nullopt : std::optional(source->first);
 }
 
-void Replica::take_late_values(std::uint32_t group, const wire::CopyReplyT& values) {
+void Replica::merge_late_values(std::uint32_t group, const wire::CopyReplyT& values) {
   const GroupProgress& progress = progress_.at(group);
   const bool votes = progress.synchronized && !progress.returning;
   if (votes || values.status != wire::ReplicaStatus::Granted || values.ballots_only) {
@@ -1150,17 +1154,18 @@
   }
 }
 
-Replica::values_taken Replica::take_values(std::uint32_t group, CopySource& source, const wire::CopyReplyT& values) {
-  values_taken taken = values_taken::known;
+Replica::values_result Replica::process_values(std::uint32_t group, CopySource& source,
+                                               const wire::CopyReplyT& values) {
+  values_result taken = values_result::known;
   for (const auto& record : values.records) {
     const auto wanted = source.wanted.find(record->key);
     if (wanted != source.wanted.end() && from_wire(record->accepted) < wanted->second) {
-      return values_taken::lost_there;
+      return values_result::lost_at_source;
     }
     merge_value(group, *record);
     if (wanted != source.wanted.end()) {
       source.wanted.erase(wanted);
-      taken = values_taken::wanted;
+      taken = values_result::wanted;
     }
   }
   return taken;
@@ -1173,7 +1178,7 @@
 }
 
 bool Replica::holds_all_of(const GroupProgress& progress, const CopySource& source) {
-  return source.complete && std::all_of(source.left_to.begin(), source.left_to.end(), [&](std::uint32_t other) {
+  return source.complete && std::all_of(source.deferred_to.begin(), source.deferred_to.end(), [&](std::uint32_t other) {
            return progress.copying.contains(other) && progress.copying.at(other).complete;
          });
 }
@@ -1183,13 +1188,13 @@
                      [&](const auto& entry) { return entry.second.whole && holds_all_of(progress, entry.second); });
 }
 
-std::size_t Replica::admitted_copied_from(const GroupProgress& progress, bool fresh_leavers) {
+std::size_t Replica::admitted_copied_from(const GroupProgress& progress, bool recent_leavers) {
   const auto counts = [&](const auto& entry) {
     const std::size_t members = progress.description.replicas.size();
     const bool member = entry.first < members;
-    const bool fresh_leaver =
-        fresh_leavers && !member && (fresh_leaver_bit(entry.first - members) & progress.fresh_leavers) != 0;
-    return entry.second.votes && (member || fresh_leaver) && holds_all_of(progress, entry.second);
+    const bool recent_leaver =
+        recent_leavers && !member && (recent_leaver_bit(entry.first - members) & progress.recent_leavers) != 0;
+    return entry.second.votes && (member || recent_leaver) && holds_all_of(progress, entry.second);
   };
   return static_cast<std::size_t>(std::count_if(progress.copying.begin(), progress.copying.end(), counts));
 }
@@ -1200,7 +1205,7 @@
   if (copied_from_whole(progress)) {
     return true;
   }
-  if (all_members && (holds_leaving || progress.whole_last)) {
+  if (all_members && (holds_leaving || progress.whole_in_previous_epoch)) {
     return true;
   }
   return votes(progress) ? 1 + admitted_copied_from(progress, true) >= majority
@@ -1210,7 +1215,7 @@
 bool Replica::newly_holds_leaving(const GroupProgress& progress) {
   const bool told = std::any_of(progress.copying.begin(), progress.copying.end(),
                                 [](const auto& entry) { return entry.second.complete && entry.second.holds_leaving; });
-  // Values that a leaving member offers may be left to a member that holds them, too.
+  // Values that a leaving member offers may be awaited from a member that holds them as well.
   const bool copied = copied_from(progress, false) && copied_from(progress, true);
   return !progress.holds_leaving && (told || copied);
 }
@@ -1230,7 +1235,7 @@
   if (progress.awaits_flush) {
     return;
   }
-  // Marks may not last longer than the records that they speak of.
+  // Marks must not become durable before the records that they describe.
   progress.awaits_flush = true;
   storage_.flush(lifetime_.guard([this, group, parts, epoch = progress.epoch](const Status& status) {
     const auto entry = progress_.find(group);
@@ -1243,7 +1248,7 @@
       return;
     }
     mark_copied(group, parts);
-    finish_copy_if_complete(group);  // more may have come meanwhile
+    finish_copy_if_complete(group);  // More may have arrived in the meantime.
   }));
 }
 
@@ -1255,7 +1260,7 @@
 
 void Replica::mark_copied(std::uint32_t group, copied_parts parts) {
   GroupProgress& progress = progress_.at(group);
-  // A copy that has begun anew since has forgotten what it had.
+  // The copy may have restarted since and lost its progress.
   const bool held = parts.leaving && newly_holds_leaving(progress);
   const bool whole = parts.whole && newly_whole(progress);
   const bool admitted = whole && !votes(progress);
@@ -1278,7 +1283,7 @@
   }
   if (admitted) {
     counters_["ledger_replicas_admitted_total"]++;
-    tell_admission(group);
+    announce_admission(group);
     if (on_admitted) {
       on_admitted(group, progress.epoch);
     }
@@ -1286,7 +1291,7 @@
   }
 }
 
-void Replica::tell_admission(std::uint32_t group) {
+void Replica::announce_admission(std::uint32_t group) {
   const GroupProgress& progress = progress_.at(group);
   for (const ReplicaIdentity& member : progress.description.replicas) {
     const auto address = is(member) ? std::nullopt : addresses_(member.node);
@@ -1296,7 +1301,7 @@
   }
 }
 
-// --- what operators are told ----------------------------------------------------------------
+// --- notifications for operators -------------------------------------------------------------
 
 replica_role Replica::role_of(const GroupProgress& progress) {
   if (progress.former) {
@@ -1325,7 +1330,7 @@
   return progress.epoch == before.epoch + 1 ? copy_reason::members_not_covered : copy_reason::epochs_missed;
 }
 
-void Replica::tell_epoch(std::uint32_t group, const GroupProgress& before, const GroupProgress& progress) const {
+void Replica::report_epoch(std::uint32_t group, const GroupProgress& before, const GroupProgress& progress) const {
   if (on_epoch) {
     on_epoch({group, before.epoch, progress.description, role_of(progress), reason_of(before, progress)});
   }
@@ -1429,7 +1434,7 @@
 }
 
 wire::PlaceConsent Replica::answer_offer(const place_offer& offer) {
-  const wire::PlaceConsent answer = offer.gives_up ? answer_alone(offer) : answer_place(offer);
+  const wire::PlaceConsent answer = offer.gives_up ? answer_sole_decision(offer) : answer_place(offer);
   counters_[std::string("ledger_place_offers_") + name_of(answer) + "_total"]++;
   if (on_place_answered) {
     on_place_answered(offer, answer);
@@ -1438,11 +1443,11 @@
 }
 
 wire::PlaceConsent Replica::answer_place(const place_offer& offer) {
-  const bool readable = !suspended_ && !groups_unread_ && unreadable_.empty();
+  const bool readable = !suspended_ && !group_list_unread_ && unreadable_.empty();
   return readable ? consents_.answer(offer, {self_, disk_}, known_epoch(offer.group)) : wire::PlaceConsent::NotReady;
 }
 
-wire::PlaceConsent Replica::answer_alone(const place_offer& offer) const {
+wire::PlaceConsent Replica::answer_sole_decision(const place_offer& offer) const {
   if (!is(offer.disk)) {
     return wire::PlaceConsent::OtherDisk;
   }
@@ -1486,9 +1491,9 @@
 
 std::vector<pending_handover> Replica::pending_handovers(std::size_t least_copies) const {
   std::vector<pending_handover> pending;
-  for (const auto& [group, word] : words_) {
-    if (word.names_former_disk) {
-      pending.push_back({group, word.epoch, 0, least_copies, true});
+  for (const auto& [group, latest] : latest_epochs_) {
+    if (latest.names_former_disk) {
+      pending.push_back({group, latest.epoch, 0, least_copies, true});
     }
   }
   for (const auto& [group, progress] : progress_) {
@@ -1502,16 +1507,16 @@
 }
 
 bool Replica::left_all_groups(std::size_t least_copies) const {
-  const bool knows_groups = !words_.empty() || !progress_.empty();
-  const bool all_read = !suspended_ && !groups_unread_ && unreadable_.empty();
+  const bool knows_groups = !latest_epochs_.empty() || !progress_.empty();
+  const bool all_read = !suspended_ && !group_list_unread_ && unreadable_.empty();
   const bool named_nowhere = open_places().empty() || !guards_.open_places_hold;
   return all_read && knows_groups && named_nowhere && pending_handovers(least_copies).empty();
 }
 
 std::uint64_t Replica::known_epoch(std::uint32_t group) const {
-  const auto word = words_.find(group);
+  const auto latest = latest_epochs_.find(group);
   const auto progress = progress_.find(group);
-  return std::max(word == words_.end() ? 0 : word->second.epoch,
+  return std::max(latest == latest_epochs_.end() ? 0 : latest->second.epoch,
                   progress == progress_.end() ? 0 : progress->second.epoch);
 }
 
--- a/src/ledger/rocksdb_storage.cpp
+++ b/src/ledger/rocksdb_storage.cpp
@@ -18,26 +18,27 @@
 namespace {
 constexpr std::size_t kCacheBytes = 8 << 20;
 constexpr int kBloomBitsPerKey = 10;
-constexpr std::size_t kManifestOfOneChange = 1;  ///< Bytes after which the next change goes to a new manifest.
+constexpr std::size_t kMaxManifestBytes =
+    1;  ///< Manifest size in bytes after which the next change starts a new manifest.
 
 rocksdb::Slice slice_of(const wire::Bytes& bytes) {
   return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
 }
 
-/// Takes what the database says of its own work. Its usual file of messages would be on the disk that it reports on,
-/// and this version of RocksDB ends the process with the second line that such a file refuses.
+/// Receives the log messages of the database. By default RocksDB writes them to a file on the disk that they are about,
+/// and this version of RocksDB terminates the process when the second write to that file fails.
 class MessageLog : public rocksdb::Logger {
  public:
   MessageLog() : rocksdb::Logger(rocksdb::InfoLogLevel::WARN_LEVEL) {}
   using rocksdb::Logger::Logv;
   void Logv(const char* format, std::va_list arguments) override {
-    char text[kMostMessageBytes];
+    char text[kMaxMessageBytes];
     std::vsnprintf(text, sizeof text, format, arguments);
     log_event(LogLevel::warning, "database_message", {{"text", text}});
   }
 
  private:
-  static constexpr std::size_t kMostMessageBytes = 512;
+  static constexpr std::size_t kMaxMessageBytes = 512;
 };
 
 Error write_error(const rocksdb::Status& status) { return Error{ErrorKind::storage_unwritable, status.ToString()}; }
@@ -52,17 +53,18 @@
   Executors executors;
   using Waiting = std::vector<std::function<void(Status)>>;
   Waiting waiting;
-  std::shared_ptr<Waiting> under_way;  ///< They wait for the sync under way; none: there is no sync.
-  std::uint64_t puts = 0;              ///< Since the database was opened.
-  std::uint64_t syncing_puts = 0;      ///< Covered by the sync under way, or else by the last one.
+  std::shared_ptr<Waiting> under_way;  ///< Callers that wait for the sync in progress; null: no sync is in progress.
+  std::uint64_t puts = 0;              ///< Number of writes since the database was opened.
+  std::uint64_t syncing_puts = 0;      ///< Number of writes covered by the sync in progress, or by the latest one.
   std::uint64_t synced_puts = 0;
   std::string folder;
   rocksdb::Env* env = nullptr;
   std::size_t write_buffer_bytes = kWriteBufferBytes;
   DiskTroubleHooks hooks;
-  /// A write or sync failed: the owner does not touch the database, which the background task opens again.
+  /// A write or sync failed: the owner's thread does not use the database, which the background task reopens.
   bool failed = false;
-  /// The same for the background task: RocksDB may end the process where a log is synced whose write has failed.
+  /// The same for the background task: RocksDB may terminate the process if a log is synced after a write to it has
+  /// failed.
   std::atomic<bool> log_refused = false;
   Duration reopen_after{};
 };
@@ -71,11 +73,11 @@
   rocksdb::Options options;
   options.env = implementation.env;
   options.create_if_missing = true;
-  // Opens with what was synced, whatever a loss of power left of the writes after it.
+  // Opens with what was synced, whatever a power loss left of later writes.
   options.wal_recovery_mode = rocksdb::WALRecoveryMode::kPointInTimeRecovery;
-  // Each change of tables makes a new manifest, which is named only once it is synced: one that is written on and torn
-  // by a loss of power before its sync cannot be opened.
-  options.max_manifest_file_size = kManifestOfOneChange;
+  // Each change of tables creates a new manifest, which is referenced only once it is synced. A manifest that is
+  // appended to and truncated by a power loss before its sync could not be opened.
+  options.max_manifest_file_size = kMaxManifestBytes;
   options.write_buffer_size = implementation.write_buffer_bytes;
   options.max_background_jobs = 2;
   options.compression = rocksdb::kNoCompression;
@@ -172,7 +174,7 @@
 
 void RocksDbStorage::write(rocksdb::WriteBatch& batch) {
   if (implementation_->failed) {
-    return;  // the flush that goes with it fails
+    return;  // The flush that follows fails.
   }
   ++implementation_->puts;
   const rocksdb::Status status = [&] {
@@ -181,7 +183,7 @@
   }();
   if (!status.ok()) {
     implementation_->log_refused = true;
-    note_refused(implementation_, write_error(status));
+    handle_refused_write(implementation_, write_error(status));
   }
 }
 
@@ -209,11 +211,11 @@
   Implementation& state = *implementation_;
   if (state.under_way && state.syncing_puts == state.puts && !state.failed) {
     state.under_way->push_back(std::move(done));
-    tell_waiting(state);
+    report_waiting(state);
     return;
   }
   state.waiting.push_back(std::move(done));
-  tell_waiting(state);
+  report_waiting(state);
   if (state.failed) {
     fail_waiting(state);
   } else if (!state.under_way) {
@@ -241,9 +243,9 @@
 void RocksDbStorage::finish_flush(const std::shared_ptr<Implementation>& implementation, const Status& synced) {
   const auto group = std::move(implementation->under_way);
   implementation->under_way = nullptr;
-  tell_waiting(*implementation);
+  report_waiting(*implementation);
   if (!succeeded(synced) && !implementation->failed) {
-    note_refused(implementation, error_of(synced));
+    handle_refused_write(implementation, error_of(synced));
   }
   if (implementation->failed) {
     implementation->waiting.insert(implementation->waiting.begin(), group->begin(), group->end());
@@ -254,7 +256,7 @@
   for (const auto& done : *group) {
     done(Ok{});
   }
-  // One of them may have begun the next sync.
+  // One of the callbacks may have started the next sync.
   if (!implementation->waiting.empty() && !implementation->under_way) {
     start_flush(implementation);
   }
@@ -268,18 +270,18 @@
   }
 }
 
-void RocksDbStorage::tell_waiting(const Implementation& implementation) {
+void RocksDbStorage::report_waiting(const Implementation& implementation) {
   if (implementation.executors.observer != nullptr) {
     const std::size_t under_way = implementation.under_way ? implementation.under_way->size() : 0;
     implementation.executors.observer->callers_waiting(under_way + implementation.waiting.size());
   }
 }
 
-void RocksDbStorage::note_refused(const std::shared_ptr<Implementation>& implementation, const Error& error) {
+void RocksDbStorage::handle_refused_write(const std::shared_ptr<Implementation>& implementation, const Error& error) {
   implementation->failed = true;
-  implementation->reopen_after = kReopenAfter;
+  implementation->reopen_after = kReopenDelay;
   schedule_reopen(implementation);
-  // Later, since whoever put something is in the middle of what the owner drops now.
+  // Deferred, because the caller of the failed write is still using the state that the owner discards now.
   implementation->executors.owner([implementation, error] {
     if (implementation->hooks.refused) {
       implementation->hooks.refused(error);
@@ -292,7 +294,7 @@
     return;
   }
   const Duration delay = implementation->reopen_after;
-  implementation->reopen_after = std::min(delay * 2, kMostReopenAfter);
+  implementation->reopen_after = std::min(delay * 2, kMaxReopenDelay);
   implementation->executors.after(delay, [weak = std::weak_ptr<Implementation>(implementation)] {
     if (const auto kept = weak.lock()) {
       reopen(kept);
@@ -301,7 +303,7 @@
 }
 
 void RocksDbStorage::reopen(const std::shared_ptr<Implementation>& implementation) {
-  // After a sync under way, if there is one: background tasks run one after the other.
+  // Runs after a sync in progress, since background tasks run one at a time.
   implementation->executors.background([implementation] {
     implementation->database.reset();
     const Status opened = open_database(*implementation);
@@ -318,7 +320,7 @@
     }
     return;
   }
-  // What the log held was written to a table and synced when the database was opened.
+  // When the database was opened, the contents of its log were written to a table and synced.
   implementation->failed = false;
   implementation->log_refused = false;
   implementation->puts = 0;
