--- a/src/placement/call_reporter.cpp
+++ b/src/placement/call_reporter.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr Duration kDelay = 5ms;
-/// The coordinator counted the call when it named the engine, and forgets it only after shared_calls::kExpected.
+/// The start of a call can be reported late: the coordinator counted the call when it assigned the engine, and drops it
+/// only after shared_calls::kExpected.
 constexpr Duration kStartDelay = 40ms;
 constexpr Duration kRefresh = 1s;
 constexpr Duration kWatch = 100ms;
@@ -169,7 +170,7 @@
   send(std::move(to));
 }
 
-/// @return whether another node than the one that was told of calls at @p engine coordinates it by now.
+/// @return whether @p engine is now coordinated by another node than @p told, the last receiver of a report about it.
 bool call_reporter::changed_hands(const BackendId& engine, const PeerAddress& told) const {
   const routing::Backend* backend = registry_.find(engine);
   if (backend == nullptr) {
@@ -197,7 +198,7 @@
   }
 }
 
-/// An engine that went dark is told of within a check, and so is one that speaks again.
+/// Reports engines that became unresponsive or responsive since the last check.
 void call_reporter::watch_silences() {
   std::set<BackendId> silent;
   for (const BackendId& engine : registry_.called()) {
--- a/src/placement/call_reporter.hpp
+++ b/src/placement/call_reporter.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Tells the coordinators which calls this node has open at their engines.
+/// @file Reports this node's open calls to the coordinators of the engines that run them.
 
 #include <functional>
 #include <map>
@@ -13,22 +13,22 @@
 
 namespace madderdeck::placement {
 
-/// Changes within a few milliseconds share a message to each coordinator, those that only begin calls within some tens:
-/// the coordinator has counted them since it named the engine. Once a second those that look after engines
-/// with calls of this node are told everything. Single threaded.
+/// Changes within a few milliseconds are sent to each coordinator in one message. Changes that only begin calls may
+/// wait for some tens of milliseconds, because the coordinator has counted these calls since it assigned the engine.
+/// Once a second, each coordinator of an engine with calls of this node gets a complete report. Single threaded.
 class call_reporter {
  public:
   call_reporter(Environment& environment, Counters& counters, routing::Registry& registry, const place_client& places,
                 const duties& who, const wire::MemberT& self, coordinator& own);
 
   void start();
-  /// This node's calls at @p engine are others than before.
+  /// Schedules a report after this node's calls at @p engine have changed.
   void changed(const BackendId& engine);
-  /// A call of this node failed at @p engine; told at once, also to this node's own coordinator.
+  /// Reports at once, also to this node's own coordinator, that a call of this node failed at @p engine.
   void failed(const BackendId& engine, call_trouble trouble);
-  /// A call of this node had its first token after @p milliseconds.
+  /// Records that a call of this node got its first token from @p engine after @p milliseconds.
   void first_token(const BackendId& engine, double milliseconds);
-  /// @param time how long live calls lately waited for batch work to yield.
+  /// @param time how long live calls recently waited for batch work to yield its slot.
   void set_time_to_yield(Duration time) { time_to_yield_ = time; }
 
  private:
@@ -42,7 +42,8 @@
   void tell_everything();
   void watch();
   void watch_silences();
-  /// A coordinator that takes over hears at once what runs at its engines: it would take them for empty.
+  /// Sends a complete report at once when an engine got another coordinator, which would otherwise assume that the
+  /// engine is idle.
   void watch_coordinators();
   bool changed_hands(const BackendId& engine, const PeerAddress& told) const;
 
@@ -56,13 +57,13 @@
   word_numbers numbers_;
   std::set<BackendId> changed_;
   std::set<BackendId> silent_;
-  std::set<BackendId> busy_;                     ///< Has every engine with calls of this node.
-  std::map<BackendId, std::uint32_t> first_ms_;  ///< Not told yet.
-  std::map<BackendId, PeerAddress> told_;        ///< The coordinator last told of calls at an engine.
+  std::set<BackendId> busy_;                     ///< Contains every engine with calls of this node.
+  std::map<BackendId, std::uint32_t> first_ms_;  ///< Time to the first token, not reported yet.
+  std::map<BackendId, PeerAddress> told_;        ///< The coordinator that last got a report of calls at an engine.
   Duration time_to_yield_{};
-  std::map<BackendId, std::uint32_t> last_live_;  ///< Open live calls at the latest change.
-  bool scheduled_ = false;                        ///< A word follows within kStartDelay,
-  bool scheduled_soon_ = false;                   ///< or within kDelay.
+  std::map<BackendId, std::uint32_t> last_live_;  ///< Open live calls per engine at the latest change.
+  bool scheduled_ = false;                        ///< A report follows within kStartDelay.
+  bool scheduled_soon_ = false;                   ///< A report follows within kDelay.
   Lifetime lifetime_;
 };
 
--- a/src/placement/coordinator.cpp
+++ b/src/placement/coordinator.cpp
@@ -11,27 +11,30 @@
 
 constexpr Duration kMaintenance = 1s;
 constexpr Duration kRoomInterval = 100ms;
-/// Word of another zone's room that is older says nothing.
+/// Older reports of another zone's free slots are ignored.
 constexpr Duration kRoomUseful = 500ms;
-/// Slots that another zone must have free: its own callers may take some before the call gets there.
+/// Free slots that another zone must have: its own callers may take some before a referred call gets there.
 constexpr std::uint32_t kLeastRoomElsewhere = 4;
-/// Engines in trouble are left out while at least one in so many is sound.
+/// Unresponsive and ejected engines are left out only while at least one engine in this many is healthy.
 constexpr std::size_t kLeastSoundPart = 3;
-constexpr double kMicroseconds = 1'000;       ///< In a millisecond.
-constexpr Duration kLeastFirstToken = 1ms;    ///< Before any was observed: calls are spread by it.
-constexpr Duration kLeastTimeToYield = 10ms;  ///< Messages and the engine's step, before any was observed.
-/// A caller's way back takes some milliseconds; sooner it would only be refused again.
+constexpr double kMicroseconds = 1'000;     ///< Per millisecond.
+constexpr Duration kLeastFirstToken = 1ms;  ///< Not 0 before any was observed, so that the crowding term spreads calls.
+constexpr Duration kLeastTimeToYield = 10ms;  ///< Covers messages and an engine step before any was observed.
+/// A retry after less than this would most likely be rejected again; the round trip alone takes some milliseconds.
 constexpr Duration kLeastRetry = 100ms;
-/// Words of freed slots that come within it share a look; a hundredth of what a call keeps a slot.
+/// Reports of freed slots within this time share one pass over the waiting calls. It is about a hundredth of the time
+/// for which a call holds a slot.
 constexpr Duration kServeDelay = 2ms;
-/// Between looks where no word comes: counts also fall by what is forgotten.
+/// Interval between passes without reports: counts also fall when entries expire.
 constexpr Duration kServeInterval = 10ms;
-/// Of waiting calls that cannot use what is free, having tried it before; so many at most are passed over in one look.
+/// Waiting calls tried in one pass. A call cannot use a free slot of an engine that it has tried before, so that the
+/// calls behind it must be tried, too.
 constexpr std::size_t kMostLookedAt = 8;
-const policy::arrival_call_order kNoOrder;  ///< Where no call is held.
-/// Several times the pause between two calls at an engine: one that was slow and got none since is tried again.
+const policy::arrival_call_order kNoOrder;  ///< Placeholder for a coordinator that queues no calls.
+/// Several times the interval between two calls at an engine. An engine that was slow and got no calls since is tried
+/// again after this time.
 constexpr Duration kLatencyUseful = 3s;
-/// A domain nobody has asked for lately is another node's by now.
+/// A domain that no caller has asked for within this time has moved to another coordinator.
 constexpr Duration kAskedLately = 3s;
 
 }  // namespace
@@ -78,7 +81,7 @@
       registry_.note_possible_start(backend->machine.id);
     }
   }
-  // When most are in trouble the cause is likely elsewhere, and the few that are left could not carry all.
+  // If most engines seem to fail, the cause is likely elsewhere, and the few healthy ones could not carry the load.
   return kLeastSoundPart * sound.size() < found.size() ? found : sound;
 }
 
@@ -276,7 +279,7 @@
 
 void coordinator::on_calls_changed() { serve_soon(); }
 
-/// Words of freed slots come many at a time; those within a few milliseconds share a look.
+/// Reports of freed slots come in bursts; those within kServeDelay share one pass.
 void coordinator::serve_soon() {
   if (serving_soon_ || waiting_.empty()) {
     return;
@@ -286,7 +289,7 @@
     serving_soon_ = false;
     serve_waiting();
     if (!waiting_.empty()) {
-      // Slots also fall free by words that never come.
+      // Slots also become free without a report, when expected calls expire.
       environment_.after(kServeInterval, lifetime_.guard([this] { serve_soon(); }));
     }
   }));
--- a/src/placement/coordinator.hpp
+++ b/src/placement/coordinator.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Chooses engines for the live calls of a zone, knowing all calls there.
+/// @file Assigns engines to the live calls of a zone, based on all calls open there.
 
 #include <functional>
 #include <map>
@@ -23,42 +23,45 @@
 
 namespace madderdeck::placement {
 
-/// What a coordinator answers.
+/// A coordinator's reply to a request for an engine.
 struct placement_choice {
   std::optional<forwarding::place_answer> place;
-  std::string zone;      ///< Another zone that has more room; empty: none.
-  bool waiting = false;  ///< An engine is named once a slot is free.
-  /// Set where the call would wait for longer than its caller does: when a slot is likely.
+  std::string zone;      ///< Another zone with more free slots; empty: none.
+  bool waiting = false;  ///< The call is queued; a second reply names an engine once a slot is free.
+  /// Set if the call is rejected, since it would wait for longer than its caller does: time until a slot is likely
+  /// free.
   std::optional<Duration> retry_after;
 };
 
-/// Every gateway has one; only that of the gateway that the duties name is asked. It keeps nothing that must last:
-/// after a change of coordinator the callers' next words fill the new one. Single threaded.
+/// Every gateway has a coordinator, but callers ask only the one on the gateway that `duties` selects. A coordinator
+/// has no durable state: after a change of coordinator, the callers' next reports rebuild it. Single threaded.
 class coordinator {
  public:
-  /// @param order of calls for which no slot is free; null: they are sent to an engine at once and wait there.
+  /// @param order order in which calls wait for a slot; null: calls wait at an engine instead, to which they are sent
+  /// at
+  ///        once.
   coordinator(Environment& environment, Counters& counters, DecisionLog& log, routing::Registry& registry,
               const duties& who, const wire::MemberT& self, std::shared_ptr<const policy::call_order> order = nullptr);
 
   void start();
-  /// Chooses an engine of @p domain for a call, and counts that call from now on. Asked again for a call that waits, it
-  /// answers that it does.
-  /// @param final no other zone may be named.
+  /// Assigns an engine of @p domain to a call, and counts that call from now on. A repeated request for a call that
+  /// waits gets the reply that the call is waiting.
+  /// @param final whether the reply must not refer the caller to another zone.
   placement_choice choose(const caller& who, const engine_domain& domain, const forwarding::place_query& query,
                           bool final);
-  /// The call needs no engine any more.
+  /// Removes a waiting call that needs no engine any more.
   void withdraw(const caller& who);
-  /// Told of what becomes of this node's own calls that waited.
+  /// Called with the result for a call of this node that has waited.
   std::function<void(std::uint64_t request, const placement_choice&)> on_own_call;
-  /// This node's own calls are others than before: a slot may be free.
+  /// Looks for free slots after this node's own calls have changed.
   void on_calls_changed();
   void handle(const PeerAddress& sender, const wire::PlaceRequestT& message);
   void handle(const wire::PlaceRoomT& message);
   void handle(const wire::PlaceWithdrawalT& message);
   void handle(const wire::EngineFailureT& message);
-  /// Takes what a gateway or dispatcher tells of its calls.
+  /// Applies the report of a gateway or dispatcher about its calls.
   void take(const wire::EngineActivityT& message);
-  /// @return calls of the other nodes, as they told them here.
+  /// @return calls of the other nodes, as these nodes reported them.
   const routing::shared_calls& calls() const { return calls_; }
 
  private:
@@ -68,30 +71,32 @@
   };
 
   std::vector<routing::Backend*> candidates(const engine_domain& domain, const std::set<BackendId>& excluded);
-  /// @return engines of @p domain that warm up and bear one more request now.
+  /// @return engines of @p domain that are warming up and whose rate limit admits another request now.
   std::vector<routing::Backend*> warming_candidates(const engine_domain& domain, const std::set<BackendId>& excluded);
-  /// @return how many calls a second the engines of @p domain that warm up bear together.
+  /// @return the sum of the rate limits, in calls per second, of the engines of @p domain that are warming up.
   double warm_up_rate(const engine_domain& domain);
-  /// @return in what time a call behind @p ahead others gets an engine, slots falling free evenly.
+  /// @return the time until a call behind @p ahead others gets an engine, if slots become free at an even rate.
   Duration expected_wait(const engine_domain& domain, const forwarding::place_query& query,
                          const std::vector<routing::Backend*>& open, std::size_t ahead);
-  /// @return the engine that gives the call its first token soonest; null where all are full.
+  /// @return the engine that is expected to give the call its first token soonest; null if all are full.
   routing::Backend* find_slot(const std::vector<routing::Backend*>& open, const forwarding::place_query& query);
-  /// Counts the call at @p engine from now on.
+  /// Assigns the call to @p engine and counts it there from now on.
   placement_choice grant(const std::string& node, routing::Backend& engine, const forwarding::place_query& query);
-  /// Where every engine is full: another zone, a place among those that wait, or a rejection.
+  /// Handles a call for which every engine is full: refers it to another zone, queues it or rejects it.
   placement_choice hold(const caller& who, const engine_domain& domain, const forwarding::place_query& query,
                         const std::vector<routing::Backend*>& open, bool final);
   void serve_soon();
   void serve_waiting();
-  /// @return whether a waiting call of @p domain was given an engine or another zone.
+  /// @return whether a waiting call of @p domain was assigned an engine or referred to another zone.
   bool serve_first(const engine_domain& domain);
   void answer(const PeerAddress& to, std::uint64_t request, const placement_choice& choice);
   void deliver(const engine_domain& domain, const waiting_call& call, const placement_choice& choice);
-  /// @return whether @p engine says nothing to its callers or fails their calls.
+  /// @return whether @p engine is unresponsive to its callers or ejected for failing their calls.
   bool in_trouble(const BackendId& engine) const;
   bool all_in_trouble(const std::vector<routing::Backend*>& engines) const;
-  /// @return another zone of the pool with room to spare; nothing when none is known.
+  /// Counts one free slot of the zone that it returns as taken.
+  /// @return the other zone of the pool with most free slots, as last reported; nothing if none is known to have
+  /// enough.
   std::optional<std::string> roomier_zone(const engine_domain& domain);
   void tell_room();
   void maintain();
@@ -108,10 +113,10 @@
   routing::warm_up_pace pace_;
   waiting_calls waiting_;
   bool serving_soon_ = false;
-  bool tells_room_ = false;  ///< While domains are asked for.
+  bool tells_room_ = false;  ///< Whether free slots are reported, which ends when no domain is asked for.
   failing_engines failing_;
-  std::map<engine_domain, room> rooms_;           ///< Of other coordinators.
-  std::map<engine_domain, Timestamp> asked_for_;  ///< Domains that this node is coordinator of, by the askers.
+  std::map<engine_domain, room> rooms_;           ///< Free slots that other coordinators reported.
+  std::map<engine_domain, Timestamp> asked_for_;  ///< When callers last asked this node for engines of a domain.
   Lifetime lifetime_;
 };
 
--- a/src/placement/duties.cpp
+++ b/src/placement/duties.cpp
@@ -9,12 +9,12 @@
 
 using membership::Role;
 
-/// Of the schedulers of a zone one in so many runs batch work: each then has several engines and sees their lulls
-/// together, and its streams take a small part of a small machine.
+/// One in this many schedulers of a zone runs batch work. Each dispatcher then has several engines and can use idle
+/// times across them, while its streams take only a small fraction of a small machine.
 constexpr std::size_t kSchedulersPerDispatcher = 8;
-/// Of all schedulers one in so many looks after jobs: few queues, so that the nearest deadlines go first.
+/// One in this many schedulers manages jobs. With few queues, the jobs with the nearest deadlines go first.
 constexpr std::size_t kSchedulersPerManager = 32;
-/// Coordinators are taken from so many of a zone's best equipped gateways.
+/// Number of a zone's highest-capacity gateways that are candidates for coordinators.
 constexpr std::size_t kMostCoordinators = 3;
 
 std::size_t part_of(std::size_t count, std::size_t divisor) { return std::max<std::size_t>(1, count / divisor); }
@@ -60,7 +60,8 @@
   for (auto& [zone, gateways] : gateways_) {
     candidates all = gateways;
     keep_first(gateways, kMostCoordinators);
-    // The next in rank follows one that answers no probes; somebody else steps in when none of them answers.
+    // A gateway that answers no probes is skipped in favor of the next in rank. If none of the first kMostCoordinators
+    // answers, they are chosen from the zone's other gateways.
     const auto silent = [](const candidate& one) { return one.member->state != wire::MemberState::Alive; };
     std::erase_if(gateways, silent);
     if (gateways.empty()) {
@@ -147,7 +148,8 @@
     }
   }
   const std::uint64_t key_hash = stable_hash(key);
-  // A coordinator hears of every call of its engines: on a small machine it falls behind in a burst.
+  // Capacity counts before the hash: a coordinator gets reports of every call of its engines, and on a small machine it
+  // would fall behind in a burst.
   std::sort(ranked.begin(), ranked.end(), [key_hash](const candidate& left, const candidate& right) {
     if (left.member->capacity != right.member->capacity) {
       return left.member->capacity > right.member->capacity;
--- a/src/placement/duties.hpp
+++ b/src/placement/duties.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Which nodes decide for the others in a large fleet: dispatchers of batch work, managers of jobs, coordinators.
+/// @file Selects the nodes that decide for others in a large fleet: dispatchers of batch work, job managers,
+/// coordinators.
 
 #include <cstdint>
 #include <map>
@@ -11,31 +12,33 @@
 
 namespace madderdeck::placement {
 
-/// Gateways up to which every one tells all others its calls; beyond, few nodes decide (see docs/design/placement.md).
+/// Up to this many gateways, each one reports its calls to all others. In a larger fleet a few nodes decide for all
+/// (see docs/design/placement.md).
 inline constexpr std::size_t kMostSharingGateways = 25;
 
-/// Derived from the members alone, so that nodes with the same view agree. Of nodes that could do a duty the better
-/// equipped ones come first. Single threaded.
+/// Assigns duties by the membership alone, so that nodes with the same view agree. Among the nodes that are eligible
+/// for a duty, those with the higher capacity come first. Single threaded.
 class duties {
  public:
   /// @param members outlives this.
   explicit duties(const membership::Membership& members) : members_(members) {}
 
-  /// @return whether the fleet is so large that few nodes decide for the others.
+  /// @return whether the fleet is so large that a few nodes decide for the others.
   bool divided() const;
-  /// @return the scheduler that runs batch work on @p engine, which stands in @p zone; null where there is none.
+  /// @return the scheduler that runs batch work on @p engine, which is in @p zone; null if there is none.
   const wire::MemberT* dispatcher_of(std::string_view engine, const std::string& zone) const;
   /// @return whether this node may run batch work on engines of @p zone.
   bool dispatches_in(const std::string& zone) const;
   /// @return whether there is a zone on whose engines this node may run batch work.
   bool dispatches() const;
-  /// @return the scheduler that looks after @p job; null where there is none.
+  /// @return the scheduler that manages @p job; null if there is none.
   const wire::MemberT* manager_of(std::string_view job) const;
-  /// @return where schedulers that may look after jobs hear their peers.
+  /// @return the peer addresses of the schedulers that may manage jobs.
   std::vector<PeerAddress> managers() const;
-  /// @return where schedulers that may run batch work hear their peers.
+  /// @return the peer addresses of the schedulers that may run batch work.
   std::vector<PeerAddress> dispatchers() const;
-  /// @return gateways that may choose engines for @p key, the one that does first; those of @p zone where it has any.
+  /// @return the gateways that may be coordinators for the domain key @p key, the preferred one first: gateways of
+  ///         @p zone if it has any, otherwise of all zones.
   std::vector<const wire::MemberT*> coordinators_of(std::string_view key, const std::string& zone) const;
 
  private:
@@ -52,13 +55,15 @@
   static const wire::MemberT* best_of(const candidates& among, std::string_view key);
 
   const membership::Membership& members_;
-  /// Derived again when the members change.
+  /// Membership version from which the fields below were derived; they are rebuilt when it changes.
   mutable std::uint64_t version_ = 0;
   mutable bool divided_ = false;
   mutable candidates managers_;
   mutable candidates all_dispatchers_;
-  mutable std::map<std::string, candidates> dispatchers_;  ///< By zone; with few nodes all under no zone.
-  mutable std::map<std::string, candidates> gateways_;     ///< Those that answer probes, by zone.
+  mutable std::map<std::string, candidates>
+      dispatchers_;  ///< By zone; all under the empty zone if the fleet is not divided.
+  mutable std::map<std::string, candidates>
+      gateways_;  ///< Candidates for coordinators by zone; all of them answer probes.
 };
 
 }  // namespace madderdeck::placement
--- a/src/placement/failing_engines.cpp
+++ b/src/placement/failing_engines.cpp
@@ -5,19 +5,20 @@
 namespace madderdeck::placement {
 namespace {
 
-/// Single answers get lost now and then; at a sound engine two so close together are a small part of its calls.
+/// Single failures occur now and then. Two failures within this time are a small fraction of the calls of a healthy
+/// engine.
 constexpr Duration kTogether = 1s;
 constexpr std::size_t kLeastFailures = 2;
-/// With two failures alone 341 of 3,253 calls of a pool of three sound engines waited up to 1.5 s, since one or two of
-/// these were left out; with this part none was late (one run of a quiet day each).
+/// Without this condition, one or two of a pool's three healthy engines were ejected after two failures, and 341 of
+/// 3,253 calls waited for up to 1.5 s; with it, none was late.
 constexpr double kLeastPart = 0.25;
-/// As long as a gateway leaves alone an engine that fails its own calls (Registry).
+/// The same time for which a gateway avoids an engine that fails the gateway's own calls (see Registry).
 constexpr Duration kAside = 2s;
 constexpr unsigned kMostDoublings = 2;
-/// A failure so soon after it came back is the same trouble.
+/// A failure within this time after an engine's return has the same cause.
 constexpr Duration kSameTrouble = 3s;
 constexpr Duration kRemembered = 20s;
-constexpr double kForgottenRate = 0.01;  ///< Calls a second.
+constexpr double kForgottenRate = 0.01;  ///< Calls per second.
 
 }  // namespace
 
@@ -34,7 +35,7 @@
   const bool together = known.failures.size() >= kLeastFailures && failures >= kLeastPart * calls_a_second;
   known.failed_at = now;
   if (now < known.aside_until) {
-    return;  // calls that were sent before
+    return;  // this call was sent before the ejection
   }
   const bool same_again = again && failures >= kLeastPart * calls_a_second;
   if (trouble != call_trouble::unreachable && !together && !same_again) {
--- a/src/placement/failing_engines.hpp
+++ b/src/placement/failing_engines.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Engines at which calls of several nodes fail, as their coordinator hears of it.
+/// @file Ejects engines whose calls fail, based on the failures that all nodes report to the engines' coordinator.
 
 #include <map>
 #include <vector>
@@ -12,28 +12,28 @@
 
 /// How a call failed at an engine.
 enum class call_trouble {
-  unreachable,  ///< No byte could be sent.
-  broken,       ///< The connection ended, nothing came in time, or the answer was the engine's own failure.
+  unreachable,  ///< No byte could be sent to the engine.
+  broken,       ///< The connection ended, no response came in time, or the engine answered with an error of its own.
 };
 
-/// An engine that breaks its calls is empty soon and would get all new ones. Two failures within a second that are a
-/// quarter of its calls or more, or one that could not be reached, set it aside; when calls fail again soon after it
-/// came back, for twice as long. Where an engine has 40 calls a second and more, two in a second fail at a sound one,
-/// too. Single threaded.
+/// An engine that fails its calls soon has no calls left and would attract all new ones. It is therefore ejected after
+/// two failures within a second that are at least a quarter of its calls, or after one call that could not reach it. If
+/// calls fail again soon after its return, it is ejected for twice as long. The quarter matters for engines with 40
+/// calls a second and more, where two failures in a second happen at a healthy engine, too. Single threaded.
 class failing_engines {
  public:
-  /// A call goes to @p engine.
+  /// Counts a call that is sent to @p engine.
   void count_call(const BackendId& engine, Timestamp now);
   void record(const BackendId& engine, call_trouble trouble, Timestamp now);
-  /// @return whether @p engine is to get no calls at @p now, while others are there.
+  /// @return whether @p engine is ejected at @p now: it should get no calls while other engines are available.
   bool aside(const BackendId& engine, Timestamp now) const;
-  /// Forgets engines whose last failure is long ago.
+  /// Removes engines whose last failure is long ago.
   void forget_old(Timestamp now);
 
  private:
   struct history {
     Timestamp failed_at{};
-    std::vector<Timestamp> failures;  ///< Of the last second.
+    std::vector<Timestamp> failures;  ///< Those of the last second.
     Timestamp aside_until{};
     unsigned doublings = 0;
   };
--- a/src/placement/kept_starts.cpp
+++ b/src/placement/kept_starts.cpp
@@ -3,9 +3,9 @@
 namespace madderdeck::placement {
 namespace {
 
-/// A start that nobody used for so long has likely given way to others.
+/// An engine has likely evicted a prefix that was not used for this time.
 constexpr Duration kKept = 20s;
-/// Keys beyond are not remembered: 4,096 keys of some engines each take about 1 MB.
+/// Further keys are not tracked: 4,096 keys with a few engines each take about 1 MB.
 constexpr std::size_t kMostKeys = 4'096;
 
 }  // namespace
--- a/src/placement/kept_starts.hpp
+++ b/src/placement/kept_starts.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Which engines have likely read which prompt starts, by what their coordinator sent there.
+/// @file Tracks which engines likely have which prompt prefixes in their cache, by the calls that were assigned to
+/// them.
 
 #include <map>
 #include <string>
@@ -9,13 +10,13 @@
 
 namespace madderdeck::placement {
 
-/// A start is kept while it is used: engines let go of those that were used least lately. Memory is bounded; the starts
-/// used least lately are forgotten first. Single threaded.
+/// A prefix counts as cached for some time after its last use, since engines evict the least recently used prefixes
+/// first. Memory is bounded: while the table is full, new prefixes are not tracked. Single threaded.
 class kept_starts {
  public:
   void used(const std::string& key, const BackendId& engine, Timestamp now);
   bool keeps(const std::string& key, const BackendId& engine, Timestamp now) const;
-  /// The engine has ended, or started again.
+  /// Removes all prefixes of an engine that has ended or restarted.
   void forget(const BackendId& engine);
   void forget_old(Timestamp now);
 
--- a/src/placement/place_client.cpp
+++ b/src/placement/place_client.cpp
@@ -5,11 +5,12 @@
 namespace madderdeck::placement {
 namespace {
 
-/// A round trip within a region takes 1 to 2 ms; beyond this a gateway does better to choose by reports.
+/// Reply timeout. A round trip within a region takes 1 to 2 ms; rather than wait for longer, a gateway chooses by
+/// reports.
 constexpr Duration kPatience = 20ms;
-/// One datagram may get lost; two in a row say that nobody is there.
+/// A single datagram may get lost; two consecutive requests without a reply count as an unresponsive coordinator.
 constexpr unsigned kMostUnanswered = 2;
-/// By then probes have shown whether the coordinator is gone.
+/// How long an unresponsive coordinator is avoided; by then, probes have shown whether it has failed.
 constexpr Duration kAvoided = 2s;
 
 }  // namespace
@@ -38,7 +39,8 @@
   return nullptr;
 }
 
-/// Affinity names an engine and so a zone; other calls stay in their own zone, if it has engines of the pool.
+/// A call with an engine preferred by affinity uses that engine's domain; other calls use the domain of this node's
+/// zone.
 engine_domain place_client::domain_for(const forwarding::place_query& query) const {
   if (query.first) {
     const auto first = registry_.backends().find(*query.first);
@@ -99,7 +101,7 @@
   }
   asked.waiting = asked.waiting && asked.asked == PeerAddress(member->peer_address);
   asked.asked = PeerAddress(member->peer_address);
-  // What is stated as times from now has gone on since the call began.
+  // These times are relative to now, so that the time since the call began must be subtracted.
   forwarding::place_query query = asked.query;
   const Duration passed = environment_.now() - asked.started;
   query.due -= passed;
@@ -139,7 +141,7 @@
 
 void place_client::handle(const PeerAddress& sender, const wire::PlaceReplyT& message) {
   const auto asked = pending_.find(message.request);
-  // A coordinator that was asked before may answer after the call went on to another one.
+  // A coordinator that was asked earlier may reply after the call was passed on to another one.
   if (asked == pending_.end() || asked->second.asked != sender) {
     counters_["placements_answered_late_total"]++;
     if (!message.engine.empty() && on_unused) {
@@ -214,7 +216,7 @@
                                         {"silent_ms", (environment_.now() - asked.asked_at) / 1ms}});
   }
   if (asked.waiting) {
-    ask(question);  // it has waited already: the next in rank gives it a place by its age
+    ask(question);  // the next coordinator in rank queues the call, whose deadlines count from its start
     return;
   }
   finish(question, std::nullopt);
--- a/src/placement/place_client.hpp
+++ b/src/placement/place_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Asks coordinators for engines.
+/// @file Requests engines for this node's calls from the coordinators.
 
 #include <functional>
 #include <map>
@@ -14,28 +14,29 @@
 
 namespace madderdeck::placement {
 
-/// One exchange of datagrams for a call, two where the first zone is full. A coordinator that does not answer is left
-/// alone for a while: then the next in rank is asked. Where all slots are taken the coordinator says so, and names an
-/// engine once one is free; meanwhile the question is repeated, so that a coordinator that dies costs a call no more
-/// than its place among those that wait. Single threaded.
+/// A placement takes one exchange of datagrams, or two if the first zone is full. A coordinator that does not reply is
+/// avoided for a while, and the next in rank is asked instead. If all slots are taken, the coordinator replies that the
+/// call waits, and replies again with an engine once a slot is free. The client repeats the request meanwhile, so that
+/// the failure of a coordinator costs a call no more than its position in the queue. Single threaded.
 class place_client : public forwarding::engine_placer {
  public:
-  /// @param own this node's coordinator, for the domains that are its own.
+  /// @param own this node's coordinator, which is called directly for the domains that it coordinates.
   place_client(Environment& environment, Counters& counters, DecisionLog& log, routing::Registry& registry,
                const duties& who, const wire::MemberT& self, coordinator& own);
 
-  /// Coordinators choose in large fleets whose prompts have no long shared starts. Where they have, exact counts spread
-  /// requests with the same start over more engines, which read it again: on a fleet of 250 gateways and prompts of
-  /// 13,300 shared tokens 15.5 million tokens of starts were read again by coordinators, 11.3 million by affinity and
-  /// reports (one run of a busy day each).
+  /// @return whether coordinators choose the engines, which they do in large fleets whose prompts have no long shared
+  ///         prefixes. With such prefixes, choice by exact call counts spreads requests with the same prefix over more
+  ///         engines, each of which has to prefill it: in a fleet of 250 gateways and prompts with 13,300 shared
+  ///         tokens, 15.5 million prefix tokens were prefilled again with coordinators, and 11.3 million with affinity
+  ///         and reports.
   bool active() const override { return duties_.divided() && long_starts_ < kMostLongStarts; }
   void note_request(bool long_start) override;
   ticket place(const forwarding::place_query& query, placed done) override;
   void withdraw(ticket question) override;
   void handle(const PeerAddress& sender, const wire::PlaceReplyT& message);
-  /// Told of engines that were named too late to be used: their coordinator counts a call there that never comes.
+  /// Called with an engine that was assigned too late to be used; its coordinator counts a call that never comes.
   std::function<void(const BackendId&)> on_unused;
-  /// @return the gateway that is asked for engines of @p domain now; null where there is none.
+  /// @return the gateway to ask for engines of @p domain now; null if there is none.
   const wire::MemberT* coordinator_for(const engine_domain& domain) const;
 
  private:
@@ -47,16 +48,16 @@
     PeerAddress asked;
     Timestamp asked_at{};
     Timestamp started{};
-    bool waiting = false;     ///< The coordinator has said that an engine follows.
-    std::uint64_t round = 0;  ///< Of questions for this call; timers of earlier ones do nothing.
+    bool waiting = false;     ///< The coordinator has queued the call and will assign an engine.
+    std::uint64_t round = 0;  ///< Number of the request for this call; timers of earlier ones do nothing.
   };
   struct silence {
-    unsigned unanswered = 0;  ///< In a row.
+    unsigned unanswered = 0;  ///< Consecutive requests without a reply.
     Timestamp avoided_until{};
   };
 
   engine_domain domain_for(const forwarding::place_query& query) const;
-  /// Asks (again) for a call that is pending.
+  /// Sends the first or a repeated request for a pending call.
   void ask(ticket question);
   void send_question(ticket question, const pending& asked, const wire::MemberT& member);
   void take(ticket question, const placement_choice& choice);
@@ -73,9 +74,10 @@
   coordinator& own_;
   std::map<std::uint64_t, pending> pending_;
   std::map<PeerAddress, silence> silences_;
-  /// A single long start counts for some 350 requests; with one in ten a gateway is sure after the first ones.
+  /// A single request with a long prefix keeps the average above this limit for some 350 requests. With one such
+  /// request in ten, a gateway decides after the first ones.
   static constexpr double kMostLongStarts = 0.001;
-  double long_starts_ = 0;  ///< Moving average of the part of requests.
+  double long_starts_ = 0;  ///< Moving average of the fraction of requests with a long shared prefix.
   std::uint64_t next_request_ = 0;
   Lifetime lifetime_;
 };
--- a/src/placement/slot_choice.cpp
+++ b/src/placement/slot_choice.cpp
@@ -5,9 +5,9 @@
 namespace madderdeck::placement {
 namespace {
 
-/// Each call more makes every token of an engine a little later.
+/// Each additional call delays every token of an engine a little.
 constexpr double kCrowdingPart = 0.1;
-/// A queue at one engine is a bet on its next end: no more than one call takes it.
+/// At most one call queues at an engine, since the time at which its next call ends is uncertain.
 constexpr double kMostQueued = 1;
 
 Duration scaled(Duration time, double factor) {
@@ -20,7 +20,7 @@
   const double taken = (engine.live + engine.batch) / engine.slots;
   Duration wait = scaled(call.first_token, engine.slowness - 1 + kCrowdingPart * taken);
   if (!engine.has_slot()) {
-    // Ends come evenly: the next one after the time of a call through the slots.
+    // Calls are assumed to end at an even rate: the next one ends after the mean holding time divided by the slots.
     wait += scaled(call.holding, (engine.live - engine.slots + 1) / engine.slots);
   } else if (!engine.has_free_slot()) {
     wait += call.time_to_yield;
--- a/src/placement/waiting_calls.cpp
+++ b/src/placement/waiting_calls.cpp
@@ -5,7 +5,7 @@
 namespace madderdeck::placement {
 namespace {
 
-/// Three repeats may get lost before a gateway counts as gone.
+/// A call is dropped after this time without a request for it; three consecutive repeats may get lost.
 constexpr Duration kGone = 4 * waiting_calls::kRefresh;
 
 const std::vector<waiting_call> kNone;
--- a/src/placement/waiting_calls.hpp
+++ b/src/placement/waiting_calls.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Live calls that wait at a coordinator until a slot is free.
+/// @file Queue of live calls that wait at a coordinator for a free slot.
 
 #include <map>
 #include <optional>
@@ -11,34 +11,34 @@
 
 namespace madderdeck::placement {
 
-/// Who asks for an engine.
+/// Origin of a request for an engine.
 struct caller {
   std::string node;
-  std::uint64_t request = 0;  ///< Number of the question, unique at its node.
-  PeerAddress address;        ///< Where the node hears answers.
+  std::uint64_t request = 0;  ///< Number of the request, unique at its node.
+  PeerAddress address;        ///< Peer address to which replies are sent.
 
   bool same_question(const caller& other) const { return node == other.node && request == other.request; }
 };
 
-/// A call that waits.
+/// A call that waits for a slot.
 struct waiting_call {
   caller who;
   forwarding::place_query query;
   Timestamp arrived{};
-  Timestamp due_at{};   ///< Later starts miss the target.
-  Timestamp gone_at{};  ///< The caller is given up on then.
+  Timestamp due_at{};   ///< A call that starts later misses its latency target.
+  Timestamp gone_at{};  ///< The caller stops waiting at this time.
   Timestamp heard_at{};
 
   policy::call_outlook outlook(Timestamp now) const { return {query.rank, due_at - now, now - arrived}; }
 };
 
-/// Only the question waits here: the request itself stays with its gateway, which asks again every kRefresh and goes
-/// elsewhere when this node dies. Single threaded.
+/// Holds only the requests for engines: the call itself stays at its gateway, which repeats the request every kRefresh
+/// and turns to another coordinator when this node fails. Single threaded.
 class waiting_calls {
  public:
-  /// How often a gateway repeats the question of a call that waits.
+  /// Interval at which a gateway repeats the request for a call that waits.
   static constexpr Duration kRefresh = 300ms;
-  /// Questions that one coordinator keeps; about 300 bytes each.
+  /// Maximum number of calls that wait at one coordinator; each takes about 300 bytes.
   static constexpr std::size_t kMost = 8'192;
 
   /// @param order outlives this.
@@ -48,18 +48,19 @@
   std::size_t size() const { return count_; }
   std::size_t size(const engine_domain& domain) const;
   std::vector<engine_domain> domains() const;
-  /// @return whether the call waits already; it has been heard of again.
+  /// Marks a waiting call as still wanted by its gateway.
+  /// @return whether the call is in the queue.
   bool refresh(const engine_domain& domain, const caller& who, Timestamp now);
   void add(const engine_domain& domain, waiting_call call);
   void withdraw(const caller& who);
-  /// @return how many calls of @p domain go before @p call.
+  /// @return how many waiting calls of @p domain would be served before @p call.
   std::size_t ahead_of(const engine_domain& domain, const waiting_call& call, Timestamp now) const;
-  /// @return the calls of @p domain, the first one first.
+  /// @return the waiting calls of @p domain in the order in which they are to be served at @p now.
   const std::vector<waiting_call>& in_order(const engine_domain& domain, Timestamp now);
-  /// Takes the call at @p position of in_order() out.
+  /// Removes and returns the call at @p position of in_order().
   waiting_call take(const engine_domain& domain, std::size_t position);
-  /// Drops calls whose gateway has not asked again, or whose time is over.
-  /// @return how many.
+  /// Drops calls whose gateway no longer repeats the request, or whose caller has stopped waiting.
+  /// @return how many calls were dropped.
   std::size_t drop_silent(Timestamp now);
 
  private:
--- a/src/tenancy/authentication.hpp
+++ b/src/tenancy/authentication.hpp
@@ -9,37 +9,38 @@
 
 namespace madderdeck::tenancy {
 
-/// How long a node that hears nothing of the configuration's source trusts the keys it knows.
+/// How long a node trusts the keys that it knows when it gets no updates from the configuration's source.
 struct key_trust {
-  /// Age of the configuration from which on it may miss a withdrawal; zero: never.
+  /// Age up to which the configuration counts as current; an older one may lack the withdrawal of a key. Zero: no
+  /// limit.
   Duration useful_for{};
-  /// Whether nothing is served on keys older than that; otherwise they are trusted on.
+  /// Whether requests with a key are rejected when the configuration is older than that; otherwise its keys stay valid.
   bool fail_closed = false;
 };
 
-/// What a request shows of its caller.
+/// What a request tells about its caller.
 struct credentials {
-  /// The key; nothing where none or several different ones were sent.
+  /// The key; nothing if no key or several different keys were sent.
   std::optional<std::string_view> key;
-  bool ambiguous = false;  ///< Several different keys were sent.
+  bool ambiguous = false;  ///< Whether several different keys were sent.
   bool public_route = false;
 };
 
 enum class verdict : std::uint8_t {
   allowed,
-  unknown_key,   ///< The key is no tenant's, or none was sent where one is needed.
-  keys_too_old,  ///< The configuration is older than keys are trusted for.
+  unknown_key,   ///< The key belongs to no tenant, or a required key is missing.
+  keys_too_old,  ///< The configuration is too old for its keys to be trusted.
 };
 
-/// A decision on one request.
+/// The result of authenticating a request.
 struct identity {
   verdict outcome = verdict::unknown_key;
-  const tenant* who = nullptr;  ///< Null where no key was sent. Lives as long as the directory.
+  const tenant* who = nullptr;  ///< Null if no key was sent or required. Lives as long as the directory.
 };
 
-/// Decides on one request. A fleet without tenants lets everybody in. A key that is sent must be known on public
-/// routes, too: a withdrawn one gets nothing anywhere.
-/// @param age how long ago the directory was surely the latest.
+/// Authenticates a request. A fleet without tenants admits every caller. A key must be known on public routes, too, so
+/// that a withdrawn key is rejected everywhere.
+/// @param age time since the directory was last known to be the latest.
 identity authenticate(const tenant_directory& directory, const credentials& shown, const key_trust& trust,
                       Duration age);
 
--- a/src/tenancy/rate_keeper.cpp
+++ b/src/tenancy/rate_keeper.cpp
@@ -6,11 +6,12 @@
 namespace madderdeck::tenancy {
 namespace {
 
-/// A node that is out of reach for longer has lost its callers, too: its part is given to the others.
+/// How long the share of an unreachable node is reserved. A node that is unreachable for longer has lost its callers,
+/// too, so that its share becomes available to the others.
 constexpr Duration kReservedFor = 30s;
-/// A retry at once would only be refused again.
+/// A retry after less than this would most likely be refused again.
 constexpr Duration kLeastRetry = 100ms;
-/// Of what is free no node is given more than this part of its even share at once.
+/// A single grant is at most this fraction of the node's equal share of what is free.
 constexpr double kPartAtOnce = 0.5;
 
 }  // namespace
--- a/src/tenancy/rate_keeper.hpp
+++ b/src/tenancy/rate_keeper.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Gives out what tenants may send, for all nodes: the decisions of a tenant's keeper.
+/// @file Enforces tenants' rate limits over all nodes: the decisions of a tenant's keeper, the node that counts its
+/// requests.
 
 #include <cstdint>
 #include <functional>
@@ -11,48 +12,49 @@
 
 namespace madderdeck::tenancy {
 
-/// A tenant's rate, as the configuration of one version states it.
+/// A tenant's rate limit, as one version of the configuration states it.
 struct stated_rate {
   std::string tenant;
-  std::uint64_t version = 0;  ///< Of the configuration; the latest that a keeper hears of counts.
+  std::uint64_t version = 0;  ///< Version of the configuration; a keeper applies the latest it has seen.
   rate_limit limit;
 
   auto operator<=>(const stated_rate&) const = default;
 };
 
-/// A node asks to let requests of a tenant in.
+/// A node's request to a keeper for permission to admit requests of a tenant.
 struct rate_question {
   std::string node;
   stated_rate rate;
   std::uint32_t wanted = 1;
-  std::uint32_t recent = 0;  ///< What the node has let in within the window, by whomever it was granted.
+  std::uint32_t recent = 0;  ///< Requests that the node has admitted within the window, with or without a keeper.
 };
 
 struct rate_answer {
   std::uint32_t granted = 0;
-  double used = 0;         ///< Of all nodes within the window, before this answer.
-  double allowed = 0;      ///< What may be used within it.
-  Duration retry_after{};  ///< Where nothing is granted: when a request will likely fit.
+  double used = 0;         ///< Requests counted for all nodes within the window, before this grant.
+  double allowed = 0;      ///< Requests allowed within the window.
+  Duration retry_after{};  ///< If nothing is granted: time until a request will likely be allowed.
 };
 
-/// How long a grant may be used. The window in which grants are counted is longer by it, so that no window of uses
-/// holds more than is allowed, however late in its time each grant is used.
+/// How long a grant is valid. The window in which grants are counted is longer by this time, so that no window of uses
+/// exceeds the limit, however late each grant is used.
 inline constexpr Duration kGrantUseful = 250ms;
 
-/// Counts what each node was granted and what it says it has used, whichever is more. A keeper that has just taken over
-/// so learns from each asker's first question what the one before had granted to it. What a node used that cannot be
-/// reached any more goes on counting, scaled up to the limit: cut off, it may go on by that share (rate_limiter).
-/// Nothing here must last. Single threaded.
+/// Counts for each node what it was granted or what it reports to have used, whichever is more. A keeper that has just
+/// taken over thus learns from each node's first request what the previous keeper had granted to it. The usage of a
+/// node that has become unreachable stays counted, scaled up to the limit, because the node may go on to use that share
+/// while it reaches no keeper (see rate_limiter). The state need not be durable. Single threaded.
 class rate_keeper {
  public:
   using reachable = std::function<bool(const std::string& node)>;
 
-  /// @param window over which the limit is judged: rate times window, and the burst, are allowed within it.
+  /// @param window time over which the limit is applied: rate times window, plus the burst, are allowed within it.
   explicit rate_keeper(Duration window) : window_(window) {}
 
-  /// @param nodes that may ask, at least 1; no one of them is given more than its part of what is free at once.
+  /// @param nodes number of nodes that may ask, at least 1; a single grant is limited to a node's share of what is
+  /// free.
   rate_answer decide(const rate_question& question, const reachable& is_reachable, std::size_t nodes, Timestamp now);
-  /// Forgets tenants and nodes that used nothing for long.
+  /// Removes tenants and nodes without recent usage.
   void forget_idle(Timestamp now);
   /// @return what @p limit allows within the window in which grants are counted.
   double allowed(const rate_limit& limit) const;
@@ -60,11 +62,11 @@
  private:
   struct user {
     usage_window granted;
-    std::uint32_t reported = 0;       ///< With its latest question,
-    std::uint32_t granted_since = 0;  ///< and granted to it by that and since.
+    std::uint32_t reported = 0;       ///< Usage that the node reported with its latest request.
+    std::uint32_t granted_since = 0;  ///< Requests granted to it by that request and since.
     Timestamp reported_at{};
-    double reserved = 0;  ///< While it cannot be reached.
-    Timestamp lost_at{};  ///< When that was first noticed; zero while it can be reached.
+    double reserved = 0;  ///< Usage counted for the node while it is unreachable.
+    Timestamp lost_at{};  ///< When the node was first found unreachable; zero while it is reachable.
 
     explicit user(Duration span) : granted(span) {}
   };
@@ -78,7 +80,7 @@
 
   Duration span() const { return window_ + kGrantUseful; }
   double level(const user& one, Timestamp now) const;
-  /// @return what counts as used, with the parts that are reserved for nodes out of reach.
+  /// @return the usage over all nodes, including what is reserved for unreachable nodes.
   double used(account& of, const reachable& is_reachable, Timestamp now);
 
   const Duration window_;
--- a/src/tenancy/rate_limiter.cpp
+++ b/src/tenancy/rate_limiter.cpp
@@ -9,18 +9,19 @@
 
 using membership::Role;
 
-/// A round trip within a region takes 1 to 5 ms, on a node that is out of processor time some tens.
+/// Reply timeout. A round trip within a region takes 1 to 5 ms, with an overloaded node some tens of milliseconds.
 constexpr Duration kPatience = 40ms;
-/// By then probes have shown whether the keeper is gone.
+/// How long an unresponsive keeper is not asked; by then, probes have shown whether it has failed.
 constexpr Duration kLeftAlone = 500ms;
-constexpr Duration kMaintenance = 5s;  ///< Between looks for what is no longer used.
-/// By then nodes that start all at once know each other.
+constexpr Duration kMaintenance = 5s;  ///< Interval at which idle tenants and expired entries are removed.
+/// Time after the start during which undecided requests are retried; by then, nodes that start together know each
+/// other.
 constexpr Duration kYoung = 3s;
-constexpr Duration kTryAgain = 60ms;  ///< Longer than a question and its answer.
-/// With a silent keeper each time, 600 ms: beyond, a refusal serves the caller better.
+constexpr Duration kTryAgain = 60ms;  ///< Longer than a request and its reply take.
+/// With an unresponsive keeper at each attempt, retries take 600 ms; after that, a refusal is better for the caller.
 constexpr unsigned kMostTries = 5;
-constexpr Duration kLeastRetry = 100ms;  ///< Sooner a caller would only be refused again.
-/// More would only wait unused.
+constexpr Duration kLeastRetry = 100ms;  ///< An earlier retry would most likely be refused again.
+/// Larger grants would only expire unused.
 constexpr std::uint32_t kMostWanted = 64;
 
 std::string keeper_key(const std::string& tenant) { return "tenant-rate/" + tenant; }
@@ -114,7 +115,7 @@
   question.node = members_.self().id;
   question.rate = rate;
   question.recent = of.used.sum(now);
-  // As many as come within the time that they are useful, by the average over the window.
+  // The number of requests expected while the grant is valid, by the average over the window.
   const double recent_part = std::chrono::duration<double>(kGrantUseful) / std::chrono::duration<double>(window_);
   question.wanted =
       std::clamp<std::uint32_t>(static_cast<std::uint32_t>(question.recent * recent_part), 1, kMostWanted);
@@ -164,7 +165,7 @@
   wire::RateReplyT reply;
   reply.request = message.request;
   const wire::MemberT* keeper = keeper_of(message.tenant);
-  // While two nodes differ on who keeps a tenant, one of them at most grants.
+  // While nodes disagree on the tenant's keeper, a node grants only if it is the keeper in its own view.
   reply.keeper = keeper != nullptr && keeper->id == members_.self().id;
   if (reply.keeper) {
     rate_question question;
@@ -215,8 +216,8 @@
   let_in(of, done);
 }
 
-/// One request a window is let in even where the part is less: limits are stated with some slack, and a tenant that
-/// sends little would get nothing.
+/// Admits one request per window even if the node's share is less: limits have some slack, and a tenant that sends few
+/// requests would otherwise have all of them refused.
 void rate_limiter::decide_by_own_part(const std::string& request, const stated_rate& rate, const decided& done) {
   account& of = account_of(rate.tenant);
   note_way(of, rate.tenant, true);
--- a/src/tenancy/rate_limiter.hpp
+++ b/src/tenancy/rate_limiter.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Lets requests in within their tenants' rates, which hold over all nodes. See docs/design/tenants.md.
+/// @file Admits requests within their tenants' rate limits, which apply over all nodes. See docs/design/tenants.md.
 
 #include <functional>
 #include <map>
@@ -17,24 +17,24 @@
 
 struct rate_decision {
   bool let_in = false;
-  Duration retry_after{};  ///< Where it is not: when a request will likely fit.
+  Duration retry_after{};  ///< If refused: time until a request will likely be allowed.
 };
 
-/// Each tenant has a keeper, the first of the gateways in rendezvous order, that counts for all: one exchange of
-/// datagrams for a request, or for as many as a node has lately let in within kGrantUseful. A node that gets no answer
-/// goes on by its own part of what was used when it last heard from a keeper; the keeper holds that part back. Single
-/// threaded.
+/// Each tenant has a keeper, the first of the gateways in rendezvous order, that counts its requests for all nodes. One
+/// exchange of datagrams with the keeper covers a request, or as many requests as the node has recently admitted within
+/// kGrantUseful. A node that gets no reply limits the tenant to its own share: the fraction of the usage that was its
+/// own when a keeper last replied. The keeper reserves that share. Single threaded.
 class rate_limiter {
  public:
   using decided = std::function<void(rate_decision)>;
 
-  /// @param window over which limits are judged.
+  /// @param window time over which limits are applied.
   rate_limiter(Environment& environment, Counters& counters, DecisionLog& log, const membership::Membership& members,
                Duration window);
 
   void start();
-  /// Decides on one request. @p done may run before this returns.
-  /// @param request its id, for the log.
+  /// Decides whether a request is admitted. @p done may run before this returns.
+  /// @param request id of the request, for the log.
   void admit(const std::string& request, const stated_rate& rate, decided done) {
     try_admit(request, rate, 0, std::move(done));
   }
@@ -45,12 +45,12 @@
  private:
   /// What this node knows of a tenant.
   struct account {
-    usage_window used;       ///< By this node, by whomever it was granted.
-    std::uint32_t held = 0;  ///< Granted and not used yet,
-    Timestamp held_until{};  ///< useful until then.
-    double part = 0;         ///< Of the limit, that this node used when a keeper last answered.
+    usage_window used;       ///< Requests admitted by this node, with or without a keeper.
+    std::uint32_t held = 0;  ///< Requests granted and not used yet.
+    Timestamp held_until{};  ///< When these grants expire.
+    double part = 0;         ///< Fraction of the usage that was this node's when a keeper last replied.
     bool keeper_known = false;
-    bool by_own_part = false;  ///< For the log: how it was last decided.
+    bool by_own_part = false;  ///< Whether the last decision was made without a keeper; for the log.
 
     explicit account(Duration span) : used(span) {}
   };
@@ -60,17 +60,18 @@
     decided done;
     PeerAddress keeper;
     Timestamp asked_at{};
-    unsigned tries = 0;  ///< Before this one.
+    unsigned tries = 0;  ///< Number of attempts before this one.
   };
 
   void try_admit(const std::string& request, const stated_rate& rate, unsigned tries, decided done);
-  /// No keeper has decided. A node that has just started asks again soon: the nodes do not know each other yet.
+  /// Handles a request that no keeper has decided on. A node that has just started retries soon, because the nodes may
+  /// not know each other yet; any other node decides by its own share.
   void on_undecided(const std::string& request, const stated_rate& rate, unsigned tries, const decided& done);
   account& account_of(const std::string& tenant);
   const wire::MemberT* keeper_of(const std::string& tenant) const;
   bool is_reachable(const std::string& node) const;
   void refresh_view() const;
-  /// @return whether this node has found nobody yet though it has been told where to look.
+  /// @return whether this node knows no other gateway yet although seed addresses are configured.
   bool alone() const;
   rate_question question_for(const stated_rate& rate);
   void ask(const wire::MemberT& keeper, const std::string& request, const stated_rate& rate, unsigned tries,
@@ -92,14 +93,14 @@
   rate_keeper own_;
   std::map<std::string, account> accounts_;
   std::map<std::uint64_t, pending> pending_;
-  std::map<PeerAddress, Timestamp> silent_until_;  ///< Keepers that have not answered.
+  std::map<PeerAddress, Timestamp> silent_until_;  ///< Until when unresponsive keepers are not asked.
   Timestamp started_{};
   std::uint64_t next_request_ = 0;
-  /// Derived again when the members change.
+  /// Membership version from which the fields below were derived; they are rebuilt when it changes.
   mutable std::uint64_t view_version_ = 0;
-  mutable std::vector<const wire::MemberT*> gateways_;       ///< Those that answer probes.
-  mutable std::unordered_set<std::string> reachable_nodes_;  ///< Their ids.
-  mutable std::size_t gateways_known_ = 1;                   ///< Those that may only be slow among them; at least 1.
+  mutable std::vector<const wire::MemberT*> gateways_;       ///< Gateways that answer probes.
+  mutable std::unordered_set<std::string> reachable_nodes_;  ///< The ids of gateways_.
+  mutable std::size_t gateways_known_ = 1;  ///< Also counts gateways that may only be slow; at least 1.
   Lifetime lifetime_;
 };
 
--- a/src/tenancy/tenant_directory.cpp
+++ b/src/tenancy/tenant_directory.cpp
@@ -21,22 +21,23 @@
   for (std::size_t position = 0; position < tenants.size(); ++position) {
     const tenant& one = tenants[position];
     if (one.name.empty()) {
-      return bad_tenant(one, "a tenant needs a name");
+      return bad_tenant(one, "a tenant must have a name");
     }
     if (!by_name.emplace(one.name, position).second) {
-      return bad_tenant(one, "the name stands twice");
+      return bad_tenant(one, "duplicate tenant name");
     }
     if (!is_rate(one.rate.per_second) || !is_rate(one.rate.burst)) {
-      return bad_tenant(one, "rate and burst must be numbers from 0 on");
+      return bad_tenant(one, "rate and burst must be finite numbers of at least 0");
     }
     for (const std::string& key : one.keys) {
       if (key.empty() || key.size() > kMaxKeyBytes) {
-        return bad_tenant(
-            one, "a key of " + std::to_string(key.size()) + " bytes, allowed is 1 to " + std::to_string(kMaxKeyBytes));
+        return bad_tenant(one, "key length is " + std::to_string(key.size()) + " bytes, must be 1 to " +
+                                   std::to_string(kMaxKeyBytes));
       }
       const auto [entry, first] = by_key.emplace(key, position);
       if (!first && entry->second != position) {
-        return bad_tenant(one, "the key " + key_fingerprint(key) + " is that of '" + tenants[entry->second].name + "'");
+        return bad_tenant(
+            one, "key " + key_fingerprint(key) + " already belongs to tenant '" + tenants[entry->second].name + "'");
       }
     }
   }
--- a/src/tenancy/usage_window.hpp
+++ b/src/tenancy/usage_window.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Counts what was used within a sliding span of time.
+/// @file Counts uses within a sliding time window.
 
 #include <cstdint>
 #include <deque>
@@ -8,16 +8,16 @@
 
 namespace madderdeck::tenancy {
 
-/// Sums over the last span, kept by steps of 50 ms: a use counts for the span and up to one step more, never for less.
-/// Memory is bounded by the steps of a span. Single threaded.
+/// Sums the uses of the last span in steps of 50 ms. A use counts for the span and up to one step more, never for less.
+/// Memory is bounded by the number of steps in a span. Single threaded.
 class usage_window {
  public:
   explicit usage_window(Duration span) : span_(span) {}
 
   void add(Timestamp now, std::uint32_t count);
-  /// @return what was used within the span before @p now.
+  /// @return the number of uses within the span before @p now.
   std::uint32_t sum(Timestamp now) const;
-  /// @return how long until at least @p count of what is in the window has left it; the whole span where it holds less.
+  /// @return the time until at least @p count of the uses in the window have expired; the whole span if it holds fewer.
   Duration until_freed(Timestamp now, std::uint32_t count) const;
 
  private:
