--- a/tests/placement/coordinator_test.cpp
+++ b/tests/placement/coordinator_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kSlots = 4;
 const std::string kPool = "p";
 
-/// A gateway of a large fleet with @p engines engines, in turn in the five zones.
+/// A gateway of a large fleet, with @p engines engines that are distributed evenly over the five zones.
 struct gateway_fixture {
   explicit gateway_fixture(unsigned engines = 30) : fleet(60) {
     registry.set_subset_size(1000);
@@ -60,7 +60,7 @@
     }
   }
   std::size_t sent(wire::Message type) const { return fleet.environment.sent_of(type); }
-  /// @return whom the last question went to.
+  /// @return the receiver of the last request for an engine.
   PeerAddress last_asked() const {
     for (auto message = fleet.environment.sent.rbegin(); message != fleet.environment.sent.rend(); ++message) {
       if (message->body.type == wire::Message::PlaceRequest) {
@@ -127,8 +127,8 @@
 TEST_CASE("a zone that is full names another one with room, while its word is fresh") {
   gateway_fixture fixture;
   fixture.fill_zone("z0");
-  CHECK(
-      fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), false).place);  // no word of others: here, then
+  CHECK(fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), false)
+            .place);  // no other zone has reported free slots
   wire::PlaceRoomT room;
   room.pool = kPool;
   room.zone = "z3";
@@ -186,7 +186,7 @@
 TEST_CASE("a coordinator that does not answer keeps a call for 20 ms, and after two such calls the next one is asked") {
   gateway_fixture fixture;
   fixture.fleet.say(fixture.self().id, wire::MemberState::Alive);
-  const engine_domain other{kPool, "z1"};  // never this node's own
+  const engine_domain other{kPool, "z1"};  // this node is never its coordinator
   forwarding::place_query query = fixture.query();
   query.first = BackendId("e1");
   query.affinity_key = "shared";
@@ -226,7 +226,8 @@
   fixture.registry.find(BackendId("e1"))->online_in_flight = 3;
   reporter.changed(BackendId("e1"));
   fixture.fleet.environment.world.run_for(35ms);
-  CHECK(fixture.sent(wire::Message::EngineActivity) == 0);  // a start: its coordinator named the engine
+  CHECK(fixture.sent(wire::Message::EngineActivity) ==
+        0);  // the start of a call is reported late: its coordinator assigned the engine
   fixture.registry.find(BackendId("e1"))->online_in_flight = 2;
   reporter.changed(BackendId("e1"));
   fixture.fleet.environment.world.run_for(4ms);
@@ -238,8 +239,9 @@
   CHECK(message.body.AsEngineActivity()->engines.at(0)->live == 2);
 }
 
-// After a loss of power coordinators change. The new one took its engines for empty until each gateway's next word of
-// everything, up to a second later, since the look for such changes ran once, before any engine was known.
+// Guards against a new coordinator that takes its engines for idle until each gateway's next complete report, up to a
+// second later. This happened after a power loss, because the check for changed coordinators ran only once, before any
+// engine was known.
 TEST_CASE("a coordinator that takes over is told of open calls within 100 ms") {
   gateway_fixture fixture;
   call_reporter reporter(fixture.fleet.environment, fixture.fleet.counters, fixture.registry, fixture.client,
@@ -263,7 +265,8 @@
   CHECK(told->body.AsEngineActivity()->engines.at(0)->live == 1);
 }
 
-// One quiet node of a fleet with 10,000 engines looked at each of them ten times a second.
+// Guards against periodic work for engines without calls: an idle node of a fleet with 10,000 engines checked each of
+// them ten times a second.
 TEST_CASE("a node tells of the engines that it calls, and of no others") {
   gateway_fixture fixture(2'000);
   call_reporter reporter(fixture.fleet.environment, fixture.fleet.counters, fixture.registry, fixture.client,
@@ -281,7 +284,7 @@
     entries += sent.body.type == wire::Message::EngineActivity ? sent.body.AsEngineActivity()->engines.size() : 0;
   }
   CHECK(entries >= 4);
-  CHECK(entries <= 6);  // its start, its end, and once a second
+  CHECK(entries <= 6);  // the call's start, its end, and a complete report every second
   fixture.fleet.environment.sent.clear();
   fixture.fleet.environment.world.run_for(3s);
   CHECK(fixture.sent(wire::Message::EngineActivity) == 0);
@@ -366,7 +369,7 @@
 
 namespace {
 
-/// A coordinator that holds calls while all slots are taken.
+/// A coordinator that queues calls while all slots are taken.
 struct holding_fixture : gateway_fixture {
   holding_fixture() { fill_zone("z0"); }
 
@@ -388,7 +391,7 @@
     asked.rank = rank;
     return holder.choose({"asker", request, PeerAddress("asker:1")}, kOwnDomain, asked, true);
   }
-  /// @return the questions that were answered with an engine, in order.
+  /// @return the numbers of the requests that were answered with an engine, in order.
   std::vector<std::uint64_t> granted() const {
     std::vector<std::uint64_t> found;
     for (const SentMessage& message : fleet.environment.sent) {
@@ -407,10 +410,10 @@
 
 TEST_CASE("calls wait while every slot is taken, and those that can be in time go first, then the late ones") {
   holding_fixture fixture;
-  CHECK(fixture.ask(1, -50ms).waiting);  // late already
+  CHECK(fixture.ask(1, -50ms).waiting);  // has already missed its target
   CHECK(fixture.ask(2, 200ms).waiting);
   CHECK(fixture.ask(3, 100ms).waiting);
-  CHECK(fixture.ask(4, 80ms, 4s, {0, 1}).waiting);  // of a less urgent route
+  CHECK(fixture.ask(4, 80ms, 4s, {0, 1}).waiting);  // on a less urgent route
   fixture.run_for(20ms);
   CHECK(fixture.granted().empty());
   fixture.free_slots(1);
@@ -442,7 +445,7 @@
   fixture.holder.withdraw({"asker", 1, {}});
   fixture.run_for(700ms);
   fixture.ask(3, 100ms);
-  fixture.run_for(700ms);  // 2 has not been asked for again in 1.4 s
+  fixture.run_for(700ms);  // request 2 has not been repeated for 1.4 s
   fixture.free_slots(4);
   fixture.run_for(20ms);
   CHECK(fixture.granted() == std::vector<std::uint64_t>{3});
@@ -450,7 +453,7 @@
 
 TEST_CASE("a call that would wait for longer than its caller is rejected at once, with the time to come back") {
   holding_fixture fixture;
-  // The zone's slots end one call after the other within 700 ms; 60 ms are enough for some of them only.
+  // Calls hold a slot for 700 ms, so that only some of the zone's slots become free within 60 ms.
   std::optional<Duration> retry_after;
   std::uint64_t request = 0;
   while (!retry_after && request < 1'000) {
@@ -462,8 +465,8 @@
   CHECK(fixture.ask(5'000, 50ms, 4s).waiting);
 }
 
-// An engine that had just started got 13 requests in one second, 12.8 were allowed: gateways and coordinators did not
-// know that it bore few.
+// Guards against gateways and coordinators that ignore the rate limit of engines that are warming up: an engine that
+// had just started got 13 requests in one second, where 12.8 were allowed.
 TEST_CASE("engines that warm up get no more calls a second than they bear, and the others wait") {
   gateway_fixture fixture;
   coordinator holder{fixture.fleet.environment,
@@ -550,7 +553,7 @@
   CHECK(fixture.sent(wire::Message::PlaceRequest) == 1);
   fixture.fleet.environment.world.run_for(15ms);
   CHECK(fixture.sent(wire::Message::PlaceRequest) == 2);
-  // Two questions in a row without an answer.
+  // Two consecutive requests without a reply make the client turn to the next coordinator.
   fixture.fleet.environment.world.run_for(45ms);
   CHECK(answers == 0);
   CHECK(fixture.last_asked() != first);
@@ -571,7 +574,7 @@
   REQUIRE(first);
   CHECK_FALSE(first->keeps_start);
   fixture.fleet.environment.world.run_for(200ms);
-  // Full but for the others' calls there: the kept start is worth a short queue.
+  // All slots are taken by calls of other nodes: the cached prefix is worth a short queue.
   fixture.own.take(fixture.word("asker", first->engine.str(), 0, 0));
   fixture.own.take(fixture.word("other", first->engine.str(), kSlots, 0));
   query.holding = 300ms;
@@ -579,7 +582,7 @@
   REQUIRE(queued);
   CHECK(queued->engine == first->engine);
   CHECK(queued->keeps_start);
-  // A long queue is not.
+  // It is not worth a long queue.
   fixture.own.take(fixture.word("other", first->engine.str(), kSlots + 3, 0));
   const auto elsewhere = fixture.own.choose(caller{"asker"}, kOwnDomain, query, true).place;
   REQUIRE(elsewhere);
--- a/tests/placement/duties_test.cpp
+++ b/tests/placement/duties_test.cpp
@@ -69,7 +69,7 @@
 }
 
 TEST_CASE("of a zone's gateways the better equipped are coordinators before all others, whatever the key") {
-  // Of the zone z0's ten gateways only two have more than a small part of a core.
+  // Only two of the ten gateways in zone z0 have more capacity than a small fraction of a core.
   fleet_members fleet(50, [](unsigned number) { return number == 5 || number == 40 ? 50U : 12U; });
   for (int key = 0; key < 20; ++key) {
     const auto ranked = fleet.who.coordinators_of("domain " + std::to_string(key), "z0");
--- a/tests/placement/failing_engines_test.cpp
+++ b/tests/placement/failing_engines_test.cpp
@@ -9,7 +9,7 @@
 const BackendId kEngine("e");
 }
 
-TEST_CASE("one lost answer sets no engine aside, two within a second do") {
+TEST_CASE("two failures within a second eject an engine, a single one does not") {
   failing_engines failing;
   failing.record(kEngine, call_trouble::broken, 10s);
   CHECK_FALSE(failing.aside(kEngine, 10s));
@@ -21,13 +21,13 @@
   CHECK_FALSE(failing.aside(kEngine, 13600ms));
 }
 
-TEST_CASE("an engine that cannot be reached is set aside at once") {
+TEST_CASE("an engine that cannot be reached is ejected at once") {
   failing_engines failing;
   failing.record(kEngine, call_trouble::unreachable, 10s);
   CHECK(failing.aside(kEngine, 11s));
 }
 
-TEST_CASE("one that fails again soon after it came back is set aside for twice as long, up to 8 s") {
+TEST_CASE("an engine that fails again soon after its return is ejected for twice as long, up to 8 s") {
   failing_engines failing;
   Timestamp now = 10s;
   failing.record(kEngine, call_trouble::unreachable, now);
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_CASE("failures of calls that were sent before it was set aside lengthen nothing") {
+TEST_CASE("failures of calls that were sent before an ejection do not extend it") {
   failing_engines failing;
   failing.record(kEngine, call_trouble::unreachable, 10s);
   for (int call = 0; call < 8; ++call) {
@@ -49,7 +49,7 @@
   CHECK_FALSE(failing.aside(kEngine, 12s));
 }
 
-TEST_CASE("long sound engines start anew") {
+TEST_CASE("an engine that was healthy for long loses its failure history") {
   failing_engines failing;
   failing.record(kEngine, call_trouble::unreachable, 10s);
   failing.record(kEngine, call_trouble::unreachable, 12500ms);
@@ -58,19 +58,19 @@
   CHECK_FALSE(failing.aside(kEngine, 40s));
 }
 
-TEST_CASE("failures that are a small part of an engine's calls do not set it aside") {
+TEST_CASE("failures of a small fraction of an engine's calls do not eject it") {
   failing_engines engines;
   const BackendId busy("busy");
   Timestamp now = 10s;
   for (int call = 0; call < 400; ++call) {
-    now += 20ms;  // 50 a second
+    now += 20ms;  // 50 calls per second
     engines.count_call(busy, now);
     if (call % 15 == 0) {
-      engines.record(busy, call_trouble::broken, now);  // 3 of them
+      engines.record(busy, call_trouble::broken, now);  // 3 of 50 calls fail
     }
   }
   CHECK_FALSE(engines.aside(busy, now));
-  // From now on every second one.
+  // From now on, every second call fails.
   for (int call = 0; call < 60; ++call) {
     now += 20ms;
     engines.count_call(busy, now);
--- a/tests/placement/fleet_members.hpp
+++ b/tests/placement/fleet_members.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file A membership that knows a whole fleet, for tests.
+/// @file A membership that contains a whole fleet, for tests.
 
 #include <functional>
 #include <string>
@@ -10,7 +10,8 @@
 
 namespace madderdeck::tests {
 
-/// Nodes "node-0" and on, in turn in the zones "z0" to "z4"; node-0 is the one that knows the others.
+/// The membership of node-0 in a fleet of nodes "node-0", "node-1" and so on, which are distributed evenly over the
+/// zones "z0" to "z4".
 class fleet_members {
  public:
   static constexpr unsigned kZones = 5;
@@ -36,7 +37,7 @@
     member.capacity = capacity(number);
     return member;
   }
-  /// Lets the node hear @p state of member @p id.
+  /// Delivers an update to node-0 that sets the state of member @p id to @p state.
   void say(const std::string& id, wire::MemberState state) {
     for (const wire::MemberT* known : members.members()) {
       if (known->id == id) {
@@ -62,7 +63,7 @@
   }
   static membership::Options options() {
     membership::Options options;
-    options.period = 1h;  // the test answers no probes; nobody is to be suspected for that
+    options.period = 1h;  // the test answers no probes, which must not make members suspect
     return options;
   }
   void add(const wire::MemberT& member) {
--- a/tests/tenancy/authentication_test.cpp
+++ b/tests/tenancy/authentication_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("a known key is let in as its tenant, any other is not, on public routes neither") {
+TEST_CASE("a known key is admitted as its tenant, and an unknown key is rejected, also on public routes") {
   const tenant_directory directory = one_tenant();
   const identity known = authenticate(directory, shows("key"), kTrustForever, 0ms);
   CHECK(known.outcome == verdict::allowed);
@@ -34,16 +34,16 @@
   CHECK(anybody.who == nullptr);
 }
 
-TEST_CASE("several different keys name nobody") {
+TEST_CASE("a request with several different keys is rejected") {
   CHECK(authenticate(one_tenant(), {std::nullopt, true, true}, kTrustForever, 0ms).outcome == verdict::unknown_key);
 }
 
-TEST_CASE("a fleet without tenants asks for no key") {
+TEST_CASE("a fleet without tenants requires no key") {
   CHECK(authenticate(tenant_directory(), {}, kTrustForever, 0ms).outcome == verdict::allowed);
   CHECK(authenticate(tenant_directory(), shows("any"), kTrustForever, 0ms).outcome == verdict::allowed);
 }
 
-TEST_CASE("an old configuration is trusted on, or serves no keys, as the settings say") {
+TEST_CASE("whether the keys of an old configuration are accepted depends on the settings") {
   const tenant_directory directory = one_tenant();
   const key_trust open{5s, false};
   const key_trust closed{5s, true};
--- a/tests/tenancy/rate_keeper_test.cpp
+++ b/tests/tenancy/rate_keeper_test.cpp
@@ -18,8 +18,8 @@
 
 bool all_reachable(const std::string& /*node*/) { return true; }
 
-/// Sends one request a millisecond at nodes in turn.
-/// @return how many were let in.
+/// Sends one request per millisecond, from 50 nodes in turn.
+/// @return how many requests were admitted.
 unsigned flood(rate_keeper& keeper, rate_limit limit, Timestamp from, Duration time) {
   unsigned let_in = 0;
   for (Timestamp now = from; now < from + time; now += 1ms) {
@@ -67,7 +67,7 @@
 TEST_CASE("a tenant below its limit is never refused") {
   rate_keeper keeper(kWindow);
   for (int request = 0; request < 1'000; ++request) {
-    const Timestamp now = 10s + request * 55ms;  // 18 a second of 20
+    const Timestamp now = 10s + request * 55ms;  // 18 per second of 20
     REQUIRE(keeper.decide(question("n" + std::to_string(request % 50), {20, 0}), all_reachable, 50, now).granted == 1);
   }
 }
@@ -87,7 +87,7 @@
 
 TEST_CASE("a keeper that takes over learns from the first questions what was granted before") {
   rate_keeper keeper(kWindow);
-  const rate_limit limit{20, 0};  // 105 in a window and the time a grant is useful
+  const rate_limit limit{20, 0};  // 105 requests within the window plus the lifetime of a grant
   const Timestamp now = 10s;
   CHECK(keeper.decide(question("a", limit, 60), all_reachable, 2, now).granted == 1);
   CHECK(keeper.decide(question("b", limit, 44), all_reachable, 2, now).granted == 0);
@@ -107,12 +107,13 @@
   for (int request = 0; request < 200; ++request) {
     granted += keeper.decide(question("a", limit, 20 + granted), without_b, 2, now + 100ms).granted;
   }
-  // Half of 105 is a's by now; b's other half stays reserved when its own grants are long out of the window.
+  // Node a has used half of 105 by now. The other half stays reserved for b, even after b's grants have left the
+  // window.
   CHECK(granted >= 31);
   CHECK(granted <= 33);
   const rate_answer later = keeper.decide(question("a", limit), without_b, 2, now + 8s);
   CHECK(later.used >= 50);
-  // Long after, its callers have gone elsewhere, and so does its part.
+  // The reservation of b ends after a long time, when its callers have turned to other nodes.
   keeper.forget_idle(now + 40s);
   CHECK(keeper.decide(question("a", limit), without_b, 2, now + 40s).used <= 1);
 }
--- a/tests/tenancy/rate_limiter_test.cpp
+++ b/tests/tenancy/rate_limiter_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr unsigned kNodes = 50;
 
-/// One node of a fleet; the test carries its messages.
+/// A node of a fleet, for which the test plays the keeper.
 struct limiter_fixture {
   explicit limiter_fixture(Duration up = 10s) {
     limiter.start();
@@ -35,7 +35,7 @@
     });
   }
   void run_for(Duration time) { fleet.environment.world.run_for(time); }
-  /// @return the question sent last.
+  /// @return the last request to a keeper.
   const wire::RateRequestT& question() {
     REQUIRE_FALSE(fleet.environment.sent.empty());
     const wire::RateRequestT* found = fleet.environment.sent.back().body.AsRateRequest();
@@ -58,7 +58,7 @@
   return {tenant, 1, {per_second, burst}};
 }
 
-/// @return a tenant whose keeper is (or is not) the fixture's node.
+/// @return a tenant whose keeper is the fixture's node, if @p here is set, or another node.
 std::string tenant_kept(bool here) {
   for (int number = 0;; ++number) {
     limiter_fixture fixture;
@@ -72,14 +72,14 @@
 
 }  // namespace
 
-TEST_CASE("without a limit nobody is asked") {
+TEST_CASE("requests of a tenant without a limit are admitted without a keeper") {
   limiter_fixture fixture;
   fixture.admit({"any", 1, {}});
   CHECK(fixture.let_in == 1);
   CHECK(fixture.fleet.environment.sent.empty());
 }
 
-TEST_CASE("the keeper's word decides, and a refusal carries its time to come back") {
+TEST_CASE("the keeper's reply decides, and a refusal passes on its retry time") {
   const std::string tenant = tenant_kept(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
@@ -94,7 +94,7 @@
   CHECK(fixture.retry_after == 700ms);
 }
 
-TEST_CASE("what is granted beyond one request is used without asking, for 250 ms from the question on") {
+TEST_CASE("grants beyond one request are used without another exchange, for 250 ms from the time they were requested") {
   const std::string tenant = tenant_kept(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
@@ -104,10 +104,10 @@
   CHECK(fixture.let_in == 2);
   fixture.run_for(245ms);
   fixture.admit(rate(tenant));
-  CHECK(fixture.let_in == 2);  // asked again
+  CHECK(fixture.let_in == 2);  // the grant has expired, so that the keeper is asked again
 }
 
-TEST_CASE("a keeper that says nothing costs a request 40 ms, and those after it for a while nothing") {
+TEST_CASE("an unresponsive keeper delays a request by 40 ms, and is not asked for the next ones") {
   const std::string tenant = tenant_kept(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
@@ -121,10 +121,10 @@
   CHECK(fixture.fleet.environment.sent.size() == sent);
 }
 
-TEST_CASE("cut off, a node goes on by the part that it had, and no further") {
+TEST_CASE("a node that reaches no keeper admits requests up to its last share of the usage, and no more") {
   const std::string tenant = tenant_kept(false);
   limiter_fixture fixture;
-  // Five of the twenty requests that all nodes sent were this one's: a quarter of 105.
+  // Five of the twenty requests of all nodes came from this node, which gives it a quarter of 105.
   for (int request = 0; request < 5; ++request) {
     fixture.admit(rate(tenant));
     fixture.answer(1, 20, 105);
@@ -136,14 +136,14 @@
     fixture.run_for(45ms);
   }
   const int own_part = 105 * 6 / 20;
-  // 200 requests in 9 s are more than 5 of the part's windows hold: both windows are used up.
+  // 200 requests in 9 s exceed the share of both windows that they cover, so that both are used up.
   CHECK(fixture.let_in <= 2 * own_part + 6);
   CHECK(fixture.let_in >= own_part);
   CHECK(fixture.refused > 0);
   CHECK(fixture.retry_after >= 100ms);
 }
 
-TEST_CASE("a node that thinks another keeps the tenant grants nothing") {
+TEST_CASE("a node that is not the tenant's keeper in its own view grants nothing") {
   const std::string tenant = tenant_kept(false);
   limiter_fixture fixture;
   wire::RateRequestT request;
@@ -158,7 +158,7 @@
   CHECK(fixture.fleet.environment.sent.back().body.AsRateReply()->granted == 0);
 }
 
-TEST_CASE("a keeper counts for all nodes that ask") {
+TEST_CASE("a keeper counts the requests of all nodes that ask") {
   const std::string tenant = tenant_kept(true);
   limiter_fixture fixture;
   unsigned granted = 0;
@@ -175,7 +175,7 @@
   CHECK(granted == 105);
 }
 
-TEST_CASE("a late answer of a keeper is counted and changes nothing") {
+TEST_CASE("a keeper's reply after the timeout is counted and otherwise ignored") {
   const std::string tenant = tenant_kept(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
@@ -191,7 +191,7 @@
   CHECK(fixture.fleet.counters["tenant_rate_answers_late_total"] == 1);
 }
 
-TEST_CASE("a node that has just started asks again while the nodes do not know each other, for a bounded time") {
+TEST_CASE("a node that has just started retries for a bounded time while the nodes do not know each other") {
   const std::string tenant = tenant_kept(false);
   limiter_fixture fixture(0s);
   fixture.admit(rate(tenant));
@@ -201,7 +201,7 @@
   CHECK(fixture.fleet.environment.sent_of(wire::Message::RateRequest) == 2);
   fixture.answer(1, 1, 105);
   CHECK(fixture.let_in == 1);
-  // Nobody ever answers: it is decided in the end.
+  // Without any reply, the request is decided after the last retry.
   fixture.admit(rate(tenant));
   fixture.run_for(900ms);
   CHECK(fixture.let_in + fixture.refused == 2);
--- a/tests/tenancy/tenant_directory_test.cpp
+++ b/tests/tenancy/tenant_directory_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("each key names its tenant, and no other text does") {
+TEST_CASE("each key is found with its tenant, and no other text is found") {
   const auto built = tenant_directory::build({with_keys("a", {"k1", "k2"}), with_keys("b", {"k3"})});
   REQUIRE(succeeded(built));
   const tenant_directory& directory = value_of(built);
@@ -43,7 +43,7 @@
   CHECK(tenant_directory().find_by_key("k1") == nullptr);
 }
 
-TEST_CASE("tenants that cannot be told apart are a typed error that shows no key") {
+TEST_CASE("invalid or conflicting tenants give a typed error that shows no key") {
   const auto shared = tenant_directory::build({with_keys("a", {"secret-key"}), with_keys("b", {"secret-key"})});
   REQUIRE_FALSE(succeeded(shared));
   CHECK(error_of(shared).kind == ErrorKind::invalid_argument);
@@ -59,7 +59,7 @@
   CHECK(succeeded(tenant_directory::build({with_keys("a", {"k", "k"})})));
 }
 
-TEST_CASE("ten thousand tenants with a hundred keys each are taken, and every key is found") {
+TEST_CASE("ten thousand tenants with a hundred keys each are accepted, and their keys are found") {
   const auto built = tenant_directory::build(many(10'000, 100));
   REQUIRE(succeeded(built));
   CHECK(value_of(built).find_by_key("key-9999-99")->name == "t9999");
