--- a/tests/tenancy/rate_limiter_test.cpp
+++ b/tests/tenancy/rate_limiter_test.cpp
@@ -136,7 +136,7 @@
     fixture.run_for(45ms);
   }
   const int own_part = 105 * 6 / 20;
-  // 200 requests in 9 s exceed the share of both windows that they cover, so that both are used up.
+  // 200 requests in 9 s would exceed the share of 5 windows, so that the share of both windows that they cover is used up.
   CHECK(fixture.let_in <= 2 * own_part + 6);
   CHECK(fixture.let_in >= own_part);
   CHECK(fixture.refused > 0);
