--- a/src/placement/call_reporter.hpp
+++ b/src/placement/call_reporter.hpp
@@ -19,7 +19,7 @@
 class call_reporter {
  public:
   call_reporter(Environment& environment, Counters& counters, routing::Registry& registry, const place_client& places,
-                const duties& who, const wire::MemberT& self, coordinator& own);
+                const duties& node_duties, const wire::MemberT& self, coordinator& own);
 
   void start();
   /// Schedules a report after this node's calls at @p engine have changed.
@@ -34,18 +34,18 @@
  private:
   using messages = std::map<PeerAddress, wire::EngineActivityT>;
 
-  void add(messages& to, const BackendId& engine, const routing::Backend* backend, bool complete);
+  void add_entry(messages& to, const BackendId& engine, const routing::Backend* backend, bool complete);
   void send(messages to);
-  void tell_changes();
-  void tell_within(Duration delay);
-  void tell_all();
-  void tell_everything();
-  void watch();
-  void watch_silences();
+  void report_changes();
+  void schedule_report(Duration delay);
+  void report_periodically();
+  void report_all();
+  void check_periodically();
+  void check_unresponsive_engines();
   /// Sends a complete report at once when an engine got another coordinator, which would otherwise assume that the
   /// engine is idle.
-  void watch_coordinators();
-  bool changed_hands(const BackendId& engine, const PeerAddress& told) const;
+  void check_coordinators();
+  bool coordinator_changed(const BackendId& engine, const PeerAddress& receiver) const;
 
   Environment& environment_;
   Counters& counters_;
@@ -53,17 +53,17 @@
   const place_client& places_;
   const duties& duties_;
   const wire::MemberT& self_;
-  coordinator& own_;
-  word_numbers numbers_;
-  std::set<BackendId> changed_;
-  std::set<BackendId> silent_;
-  std::set<BackendId> busy_;                     ///< Contains every engine with calls of this node.
-  std::map<BackendId, std::uint32_t> first_ms_;  ///< Time to the first token, not reported yet.
-  std::map<BackendId, PeerAddress> told_;        ///< The coordinator that last got a report of calls at an engine.
+  coordinator& own_coordinator_;
+  word_numbers message_numbers_;
+  std::set<BackendId> changed_engines_;
+  std::set<BackendId> unresponsive_;
+  std::set<BackendId> busy_engines_;                   ///< Contains every engine with calls of this node.
+  std::map<BackendId, std::uint32_t> first_token_ms_;  ///< Time to the first token, not reported yet.
+  std::map<BackendId, PeerAddress> last_receiver_;  ///< The coordinator that last got a report of calls at an engine.
   Duration time_to_yield_{};
-  std::map<BackendId, std::uint32_t> last_live_;  ///< Open live calls per engine at the latest change.
-  bool scheduled_ = false;                        ///< A report follows within kStartDelay.
-  bool scheduled_soon_ = false;                   ///< A report follows within kDelay.
+  std::map<BackendId, std::uint32_t> last_live_calls_;  ///< Open live calls per engine at the latest change.
+  bool report_scheduled_ = false;                       ///< A report follows within kStartReportDelay.
+  bool report_scheduled_soon_ = false;                  ///< A report follows within kReportDelay.
   Lifetime lifetime_;
 };
 
--- a/src/placement/coordinator.cpp
+++ b/src/placement/coordinator.cpp
@@ -9,19 +9,20 @@
 namespace madderdeck::placement {
 namespace {
 
-constexpr Duration kMaintenance = 1s;
-constexpr Duration kRoomInterval = 100ms;
+constexpr Duration kMaintenanceInterval = 1s;
+constexpr Duration kFreeSlotReportInterval = 100ms;
 /// Older reports of another zone's free slots are ignored.
-constexpr Duration kRoomUseful = 500ms;
+constexpr Duration kFreeSlotReportLifetime = 500ms;
 /// Free slots that another zone must have: its own callers may take some before a referred call gets there.
-constexpr std::uint32_t kLeastRoomElsewhere = 4;
+constexpr std::uint32_t kMinFreeSlotsElsewhere = 4;
 /// Unresponsive and ejected engines are left out only while at least one engine in this many is healthy.
-constexpr std::size_t kLeastSoundPart = 3;
-constexpr double kMicroseconds = 1'000;     ///< Per millisecond.
-constexpr Duration kLeastFirstToken = 1ms;  ///< Not 0 before any was observed, so that the crowding term spreads calls.
-constexpr Duration kLeastTimeToYield = 10ms;  ///< Covers messages and an engine step before any was observed.
+constexpr std::size_t kHealthyEnginesDivisor = 3;
+constexpr double kMicrosecondsPerMillisecond = 1'000;
+/// Not 0 before any time to the first token was observed, so that the crowding term spreads calls.
+constexpr Duration kMinFirstTokenTime = 1ms;
+constexpr Duration kMinTimeToYield = 10ms;  ///< Covers messages and an engine step before any was observed.
 /// A retry after less than this would most likely be rejected again; the round trip alone takes some milliseconds.
-constexpr Duration kLeastRetry = 100ms;
+constexpr Duration kMinRetryAfter = 100ms;
 /// Reports of freed slots within this time share one pass over the waiting calls. It is about a hundredth of the time
 /// for which a call holds a slot.
 constexpr Duration kServeDelay = 2ms;
@@ -29,60 +30,61 @@
 constexpr Duration kServeInterval = 10ms;
 /// Waiting calls tried in one pass. A call cannot use a free slot of an engine that it has tried before, so that the
 /// calls behind it must be tried, too.
-constexpr std::size_t kMostLookedAt = 8;
+constexpr std::size_t kMaxCallsTried = 8;
 const policy::arrival_call_order kNoOrder;  ///< Placeholder for a coordinator that queues no calls.
 /// Several times the interval between two calls at an engine. An engine that was slow and got no calls since is tried
 /// again after this time.
-constexpr Duration kLatencyUseful = 3s;
+constexpr Duration kLatencyLifetime = 3s;
 /// A domain that no caller has asked for within this time has moved to another coordinator.
-constexpr Duration kAskedLately = 3s;
+constexpr Duration kDomainLifetime = 3s;
 
 }  // namespace
 
 coordinator::coordinator(Environment& environment, Counters& counters, DecisionLog& log, routing::Registry& registry,
-                         const duties& who, const wire::MemberT& self, std::shared_ptr<const policy::call_order> order)
+                         const duties& node_duties, const wire::MemberT& self,
+                         std::shared_ptr<const policy::call_order> order)
     : environment_(environment),
       counters_(counters),
       log_(log),
       registry_(registry),
-      duties_(who),
+      duties_(node_duties),
       self_(self),
       order_(std::move(order)),
       waiting_(order_ == nullptr ? kNoOrder : *order_) {}
 
 void coordinator::start() {
-  environment_.after(kMaintenance, lifetime_.guard([this] { maintain(); }));
+  environment_.after(kMaintenanceInterval, lifetime_.guard([this] { maintain(); }));
 }
 
 void coordinator::maintain() {
-  environment_.after(kMaintenance, lifetime_.guard([this] { maintain(); }));
+  environment_.after(kMaintenanceInterval, lifetime_.guard([this] { maintain(); }));
   calls_.forget_silent(environment_.now());
-  failing_.forget_old(environment_.now());
-  starts_.forget_old(environment_.now());
-  pace_.forget_old(environment_.now());
-  registry_.forget_latencies(kLatencyUseful);
+  failing_engines_.forget_old(environment_.now());
+  cached_prefixes_.forget_old(environment_.now());
+  warm_up_pace_.forget_old(environment_.now());
+  registry_.forget_latencies(kLatencyLifetime);
 }
 
 std::vector<routing::Backend*> coordinator::candidates(const engine_domain& domain,
                                                        const std::set<BackendId>& excluded) {
   std::vector<routing::Backend*> found;
   for (routing::Backend* backend : registry_.candidates(domain.pool)) {
-    if (domain.has(*backend) && !excluded.contains(backend->machine.id)) {
+    if (domain.contains(*backend) && !excluded.contains(backend->machine.id)) {
       found.push_back(backend);
     }
   }
   const std::vector<routing::Backend*> warming = warming_candidates(domain, excluded);
   found.insert(found.end(), warming.begin(), warming.end());
-  std::vector<routing::Backend*> sound;
+  std::vector<routing::Backend*> healthy;
   for (routing::Backend* backend : found) {
-    if (!in_trouble(backend->machine.id)) {
-      sound.push_back(backend);
+    if (!is_unhealthy(backend->machine.id)) {
+      healthy.push_back(backend);
     } else if (calls_.at(backend->machine.id).silent()) {
       registry_.note_possible_start(backend->machine.id);
     }
   }
   // If most engines seem to fail, the cause is likely elsewhere, and the few healthy ones could not carry the load.
-  return kLeastSoundPart * sound.size() < found.size() ? found : sound;
+  return kHealthyEnginesDivisor * healthy.size() < found.size() ? found : healthy;
 }
 
 std::vector<routing::Backend*> coordinator::warming_candidates(const engine_domain& domain,
@@ -91,7 +93,8 @@
   for (routing::Backend* backend : registry_.warming(domain.pool)) {
     const BackendId& id = backend->machine.id;
     const std::optional<double> limit = registry_.warm_up_limit(*backend);
-    if (domain.has(*backend) && !excluded.contains(id) && limit && pace_.allows(id, *limit, environment_.now())) {
+    if (domain.contains(*backend) && !excluded.contains(id) && limit &&
+        warm_up_pace_.allows(id, *limit, environment_.now())) {
       found.push_back(backend);
     }
   }
@@ -101,18 +104,18 @@
 double coordinator::warm_up_rate(const engine_domain& domain) {
   double per_second = 0;
   for (const routing::Backend* backend : registry_.warming(domain.pool)) {
-    per_second += domain.has(*backend) ? registry_.warm_up_limit(*backend).value_or(0) : 0;
+    per_second += domain.contains(*backend) ? registry_.warm_up_limit(*backend).value_or(0) : 0;
   }
   return per_second;
 }
 
-bool coordinator::in_trouble(const BackendId& engine) const {
-  return calls_.at(engine).silent() || failing_.aside(engine, environment_.now());
+bool coordinator::is_unhealthy(const BackendId& engine) const {
+  return calls_.at(engine).silent() || failing_engines_.is_ejected(engine, environment_.now());
 }
 
-bool coordinator::all_in_trouble(const std::vector<routing::Backend*>& engines) const {
+bool coordinator::all_unhealthy(const std::vector<routing::Backend*>& engines) const {
   return std::all_of(engines.begin(), engines.end(),
-                     [this](const routing::Backend* engine) { return in_trouble(engine->machine.id); });
+                     [this](const routing::Backend* engine) { return is_unhealthy(engine->machine.id); });
 }
 
 void coordinator::handle(const wire::EngineFailureT& message) {
@@ -120,30 +123,31 @@
   if (message.unreachable) {
     registry_.note_possible_start(engine);
   }
-  const bool before = failing_.aside(engine, environment_.now());
-  failing_.record(engine, message.unreachable ? call_trouble::unreachable : call_trouble::broken, environment_.now());
-  if (!before && failing_.aside(engine, environment_.now())) {
+  const bool before = failing_engines_.is_ejected(engine, environment_.now());
+  failing_engines_.record(engine, message.unreachable ? call_trouble::unreachable : call_trouble::broken,
+                          environment_.now());
+  if (!before && failing_engines_.is_ejected(engine, environment_.now())) {
     counters_["engines_set_aside_total"]++;
     log_.record("engine_set_aside", {{"engine", message.engine}, {"unreachable", message.unreachable}});
   }
 }
 
-placement_choice coordinator::choose(const caller& who, const engine_domain& domain,
+placement_choice coordinator::choose(const caller& origin, const engine_domain& domain,
                                      const forwarding::place_query& query, bool final) {
-  asked_for_[domain] = environment_.now();
-  if (!tells_room_) {
-    tells_room_ = true;
-    environment_.after(kRoomInterval, lifetime_.guard([this] { tell_room(); }));
+  last_asked_[domain] = environment_.now();
+  if (!reports_free_slots_) {
+    reports_free_slots_ = true;
+    environment_.after(kFreeSlotReportInterval, lifetime_.guard([this] { report_free_slots(); }));
   }
   calls_.forget_unfulfilled(environment_.now());
-  if (waiting_.refresh(domain, who, environment_.now())) {
+  if (waiting_.refresh(domain, origin, environment_.now())) {
     placement_choice choice;
     choice.waiting = true;
     return choice;
   }
   const std::vector<routing::Backend*> open = candidates(domain, query.excluded);
-  if (!final && all_in_trouble(open)) {
-    if (const auto zone = roomier_zone(domain)) {
+  if (!final && all_unhealthy(open)) {
+    if (const auto zone = zone_with_free_slots(domain)) {
       counters_["placements_passed_on_total"]++;
       return {std::nullopt, *zone};
     }
@@ -154,37 +158,38 @@
   }
   routing::Backend* engine = find_slot(open, query);
   if (engine == nullptr) {
-    return hold(who, domain, query, open, final);
+    return handle_full_domain(origin, domain, query, open, final);
   }
   const forwarding::known_calls known = forwarding::calls_at(*engine, calls_, environment_.now());
   const bool full = known.live + known.batch >= known.slots;
   if (full && !final && query.affinity_key.empty()) {
-    if (const auto zone = roomier_zone(domain)) {
+    if (const auto zone = zone_with_free_slots(domain)) {
       counters_["placements_passed_on_total"]++;
       return {std::nullopt, *zone};
     }
   }
   counters_[full ? "placements_at_full_engines_total" : "placements_total"]++;
-  return grant(who.node, *engine, query);
+  return assign(origin.node, *engine, query);
 }
 
 routing::Backend* coordinator::find_slot(const std::vector<routing::Backend*>& open,
                                          const forwarding::place_query& query) {
   const double median = forwarding::median_latency(open);
   call_view call;
-  call.reading = query.affinity_key.empty() ? Duration::zero() : query.reading;
+  call.prefill = query.affinity_key.empty() ? Duration::zero() : query.reading;
   call.holding = query.holding;
-  call.first_token = std::max(kLeastFirstToken, Duration(static_cast<std::int64_t>(median * kMicroseconds)));
-  call.time_to_yield = std::max(kLeastTimeToYield, calls_.time_to_yield());
+  call.first_token =
+      std::max(kMinFirstTokenTime, Duration(static_cast<std::int64_t>(median * kMicrosecondsPerMillisecond)));
+  call.time_to_yield = std::max(kMinTimeToYield, calls_.time_to_yield());
   std::vector<engine_view> engines;
   engines.reserve(open.size());
   const Timestamp now = environment_.now();
   for (const routing::Backend* backend : open) {
     const forwarding::known_calls known = forwarding::calls_at(*backend, calls_, now);
     engine_view view{known.live, known.batch, known.slots, forwarding::slowness(*backend, median)};
-    view.reading_left = std::max(Duration::zero(), backend->reading_until - now);
+    view.prefill_left = std::max(Duration::zero(), backend->reading_until - now);
     if (!query.affinity_key.empty()) {
-      view.keeps_start = starts_.keeps(query.affinity_key, backend->machine.id, now);
+      view.prefix_cached = cached_prefixes_.likely_cached(query.affinity_key, backend->machine.id, now);
       view.rank = rendezvous_weight(query.affinity_key, backend->machine.id.str());
     }
     engines.push_back(view);
@@ -193,22 +198,22 @@
   return position ? open[*position] : nullptr;
 }
 
-placement_choice coordinator::grant(const std::string& node, routing::Backend& engine,
-                                    const forwarding::place_query& query) {
+placement_choice coordinator::assign(const std::string& node, routing::Backend& engine,
+                                     const forwarding::place_query& query) {
   const BackendId& id = engine.machine.id;
   const forwarding::known_calls known = forwarding::calls_at(engine, calls_, environment_.now());
   forwarding::place_answer answer{id, known.needs_yield()};
-  failing_.count_call(id, environment_.now());
+  failing_engines_.count_call(id, environment_.now());
   if (registry_.warm_up_limit(engine)) {
-    pace_.count(id, environment_.now());
+    warm_up_pace_.count(id, environment_.now());
     counters_["placements_at_warming_engines_total"]++;
   }
   if (node != self_.id) {
     calls_.expect(node, id, environment_.now());
   }
   if (!query.affinity_key.empty()) {
-    answer.keeps_start = starts_.keeps(query.affinity_key, id, environment_.now());
-    starts_.used(query.affinity_key, id, environment_.now());
+    answer.keeps_start = cached_prefixes_.likely_cached(query.affinity_key, id, environment_.now());
+    cached_prefixes_.record_use(query.affinity_key, id, environment_.now());
     if (!answer.keeps_start) {
       registry_.on_reading(id, query.reading);
     }
@@ -218,10 +223,11 @@
   return choice;
 }
 
-placement_choice coordinator::hold(const caller& who, const engine_domain& domain, const forwarding::place_query& query,
-                                   const std::vector<routing::Backend*>& open, bool final) {
+placement_choice coordinator::handle_full_domain(const caller& origin, const engine_domain& domain,
+                                                 const forwarding::place_query& query,
+                                                 const std::vector<routing::Backend*>& open, bool final) {
   if (!final) {
-    if (const auto zone = roomier_zone(domain)) {
+    if (const auto zone = zone_with_free_slots(domain)) {
       counters_["placements_passed_on_total"]++;
       return {std::nullopt, *zone};
     }
@@ -236,16 +242,16 @@
           };
           return queued(*left) < queued(*right);
         });
-    return grant(who.node, *shortest, query);
+    return assign(origin.node, *shortest, query);
   }
   const Timestamp now = environment_.now();
-  waiting_call call{who, query, now, now + query.due, now + query.patience, now};
+  waiting_call call{origin, query, now, now + query.due, now + query.patience, now};
   const std::size_t ahead = waiting_.ahead_of(domain, call, now);
   const Duration expected = expected_wait(domain, query, open, ahead);
   placement_choice choice;
-  if (expected >= query.patience || waiting_.size() >= waiting_calls::kMost) {
+  if (expected >= query.patience || waiting_.size() >= waiting_calls::kMaxCalls) {
     counters_["placements_rejected_total"]++;
-    choice.retry_after = std::max(kLeastRetry, expected);
+    choice.retry_after = std::max(kMinRetryAfter, expected);
     log_.record("call_rejected", {{"request", query.request},
                                   {"pool", domain.pool},
                                   {"zone", domain.zone},
@@ -256,7 +262,7 @@
   }
   counters_["placements_held_total"]++;
   waiting_.add(domain, std::move(call));
-  serve_soon();
+  schedule_serving();
   choice.waiting = true;
   return choice;
 }
@@ -273,31 +279,31 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait_s));
 }
 
-void coordinator::withdraw(const caller& who) { waiting_.withdraw(who); }
+void coordinator::withdraw(const caller& origin) { waiting_.withdraw(origin); }
 
 void coordinator::handle(const wire::PlaceWithdrawalT& message) { withdraw({message.node, message.request, {}}); }
 
-void coordinator::on_calls_changed() { serve_soon(); }
+void coordinator::on_calls_changed() { schedule_serving(); }
 
 /// Reports of freed slots come in bursts; those within kServeDelay share one pass.
-void coordinator::serve_soon() {
-  if (serving_soon_ || waiting_.empty()) {
+void coordinator::schedule_serving() {
+  if (serving_scheduled_ || waiting_.empty()) {
     return;
   }
-  serving_soon_ = true;
+  serving_scheduled_ = true;
   environment_.after(kServeDelay, lifetime_.guard([this] {
-    serving_soon_ = false;
+    serving_scheduled_ = false;
     serve_waiting();
     if (!waiting_.empty()) {
       // Slots also become free without a report, when expected calls expire.
-      environment_.after(kServeInterval, lifetime_.guard([this] { serve_soon(); }));
+      environment_.after(kServeInterval, lifetime_.guard([this] { schedule_serving(); }));
     }
   }));
 }
 
 void coordinator::serve_waiting() {
   calls_.forget_unfulfilled(environment_.now());
-  const std::size_t dropped = waiting_.drop_silent(environment_.now());
+  const std::size_t dropped = waiting_.drop_expired(environment_.now());
   counters_["placements_held_dropped_total"] += static_cast<CounterValue>(dropped);
   for (const engine_domain& domain : waiting_.domains()) {
     while (waiting_.size(domain) > 0 && serve_first(domain)) {
@@ -309,16 +315,16 @@
 bool coordinator::serve_first(const engine_domain& domain) {
   const Timestamp now = environment_.now();
   const std::vector<waiting_call>& calls = waiting_.in_order(domain, now);
-  const std::size_t looked_at = std::min(calls.size(), kMostLookedAt);
-  for (std::size_t position = 0; position < looked_at; ++position) {
+  const std::size_t tried = std::min(calls.size(), kMaxCallsTried);
+  for (std::size_t position = 0; position < tried; ++position) {
     const forwarding::place_query& query = calls[position].query;
     if (routing::Backend* engine = find_slot(candidates(domain, query.excluded), query)) {
       const waiting_call call = waiting_.take(domain, position);
-      deliver(domain, call, grant(call.who.node, *engine, call.query));
+      deliver(domain, call, assign(call.origin.node, *engine, call.query));
       return true;
     }
   }
-  if (const auto zone = roomier_zone(domain)) {
+  if (const auto zone = zone_with_free_slots(domain)) {
     counters_["placements_passed_on_total"]++;
     deliver(domain, waiting_.take(domain, 0), {std::nullopt, *zone});
     return true;
@@ -337,26 +343,26 @@
                             {"others", waiting_.size(domain)},
                             {"engine", choice.place ? choice.place->engine.str() : std::string()},
                             {"passed_to", choice.zone}});
-  if (call.who.node == self_.id) {
-    if (on_own_call) {
-      on_own_call(call.who.request, choice);
+  if (call.origin.node == self_.id) {
+    if (on_own_call_decided) {
+      on_own_call_decided(call.origin.request, choice);
     }
     return;
   }
-  answer(call.who.address, call.who.request, choice);
+  send_reply(call.origin.address, call.origin.request, choice);
 }
 
-std::optional<std::string> coordinator::roomier_zone(const engine_domain& domain) {
-  auto best = rooms_.end();
-  for (auto entry = rooms_.begin(); entry != rooms_.end(); ++entry) {
+std::optional<std::string> coordinator::zone_with_free_slots(const engine_domain& domain) {
+  auto best = free_slot_reports_.end();
+  for (auto entry = free_slot_reports_.begin(); entry != free_slot_reports_.end(); ++entry) {
     const bool usable = entry->first.pool == domain.pool && entry->first.zone != domain.zone &&
-                        environment_.now() - entry->second.heard_at < kRoomUseful &&
-                        entry->second.free >= kLeastRoomElsewhere;
-    if (usable && (best == rooms_.end() || entry->second.free > best->second.free)) {
+                        environment_.now() - entry->second.reported_at < kFreeSlotReportLifetime &&
+                        entry->second.free >= kMinFreeSlotsElsewhere;
+    if (usable && (best == free_slot_reports_.end() || entry->second.free > best->second.free)) {
       best = entry;
     }
   }
-  if (best == rooms_.end()) {
+  if (best == free_slot_reports_.end()) {
     return std::nullopt;
   }
   --best->second.free;
@@ -376,11 +382,11 @@
   query.due = Duration(message.due_us);
   query.patience = Duration(message.patience_us);
   query.rank = {message.tenant_priority, message.route_priority};
-  const caller who{message.node, message.request, sender};
-  answer(sender, message.request, choose(who, {message.pool, message.zone}, query, message.final));
+  const caller origin{message.node, message.request, sender};
+  send_reply(sender, message.request, choose(origin, {message.pool, message.zone}, query, message.final));
 }
 
-void coordinator::answer(const PeerAddress& to, std::uint64_t request, const placement_choice& choice) {
+void coordinator::send_reply(const PeerAddress& to, std::uint64_t request, const placement_choice& choice) {
   wire::PlaceReplyT reply;
   reply.request = request;
   reply.zone = choice.zone;
@@ -396,12 +402,12 @@
 }
 
 void coordinator::handle(const wire::PlaceRoomT& message) {
-  rooms_[{message.pool, message.zone}] = {message.free, environment_.now()};
+  free_slot_reports_[{message.pool, message.zone}] = {message.free, environment_.now()};
 }
 
 void coordinator::take(const wire::EngineActivityT& message) {
   calls_.take(message, environment_.now());
-  serve_soon();
+  schedule_serving();
   for (const auto& entry : message.engines) {
     if (entry->first_ms > 0) {
       registry_.on_first_token(BackendId(entry->engine), entry->first_ms);
@@ -409,20 +415,20 @@
   }
 }
 
-void coordinator::tell_room() {
-  std::erase_if(asked_for_, [this](const auto& entry) { return environment_.now() - entry.second > kAskedLately; });
-  tells_room_ = !asked_for_.empty();
-  if (!tells_room_) {
+void coordinator::report_free_slots() {
+  std::erase_if(last_asked_, [this](const auto& entry) { return environment_.now() - entry.second > kDomainLifetime; });
+  reports_free_slots_ = !last_asked_.empty();
+  if (!reports_free_slots_) {
     return;
   }
-  environment_.after(kRoomInterval, lifetime_.guard([this] { tell_room(); }));
-  for (const auto& [domain, asked_at] : asked_for_) {
+  environment_.after(kFreeSlotReportInterval, lifetime_.guard([this] { report_free_slots(); }));
+  for (const auto& [domain, asked_at] : last_asked_) {
     if (domain.zone.empty()) {
       continue;
     }
-    wire::PlaceRoomT word;
-    word.pool = domain.pool;
-    word.zone = domain.zone;
+    wire::PlaceRoomT report;
+    report.pool = domain.pool;
+    report.zone = domain.zone;
     std::set<std::string> zones;
     for (const routing::Backend* backend : registry_.candidates(domain.pool)) {
       zones.insert(backend->machine.zone);
@@ -431,12 +437,12 @@
       }
       const forwarding::known_calls known = forwarding::calls_at(*backend, calls_, environment_.now());
       const double free = known.slots - known.live - known.batch;
-      word.free += free > 0 && !in_trouble(backend->machine.id) ? static_cast<std::uint32_t>(free) : 0;
+      report.free += free > 0 && !is_unhealthy(backend->machine.id) ? static_cast<std::uint32_t>(free) : 0;
     }
     for (const std::string& zone : zones) {
       const auto there = duties_.coordinators_of(engine_domain{domain.pool, zone}.key(), zone);
       if (zone != domain.zone && !there.empty()) {
-        send_message(environment_, PeerAddress(there.front()->peer_address), word);
+        send_message(environment_, PeerAddress(there.front()->peer_address), report);
       }
     }
   }
--- a/src/placement/coordinator.hpp
+++ b/src/placement/coordinator.hpp
@@ -41,18 +41,19 @@
   /// at
   ///        once.
   coordinator(Environment& environment, Counters& counters, DecisionLog& log, routing::Registry& registry,
-              const duties& who, const wire::MemberT& self, std::shared_ptr<const policy::call_order> order = nullptr);
+              const duties& node_duties, const wire::MemberT& self,
+              std::shared_ptr<const policy::call_order> order = nullptr);
 
   void start();
   /// Assigns an engine of @p domain to a call, and counts that call from now on. A repeated request for a call that
   /// waits gets the reply that the call is waiting.
   /// @param final whether the reply must not refer the caller to another zone.
-  placement_choice choose(const caller& who, const engine_domain& domain, const forwarding::place_query& query,
+  placement_choice choose(const caller& origin, const engine_domain& domain, const forwarding::place_query& query,
                           bool final);
   /// Removes a waiting call that needs no engine any more.
-  void withdraw(const caller& who);
+  void withdraw(const caller& origin);
   /// Called with the result for a call of this node that has waited.
-  std::function<void(std::uint64_t request, const placement_choice&)> on_own_call;
+  std::function<void(std::uint64_t request, const placement_choice&)> on_own_call_decided;
   /// Looks for free slots after this node's own calls have changed.
   void on_calls_changed();
   void handle(const PeerAddress& sender, const wire::PlaceRequestT& message);
@@ -65,9 +66,9 @@
   const routing::shared_calls& calls() const { return calls_; }
 
  private:
-  struct room {
+  struct free_slot_report {
     std::uint32_t free = 0;
-    Timestamp heard_at{};
+    Timestamp reported_at{};
   };
 
   std::vector<routing::Backend*> candidates(const engine_domain& domain, const std::set<BackendId>& excluded);
@@ -81,24 +82,25 @@
   /// @return the engine that is expected to give the call its first token soonest; null if all are full.
   routing::Backend* find_slot(const std::vector<routing::Backend*>& open, const forwarding::place_query& query);
   /// Assigns the call to @p engine and counts it there from now on.
-  placement_choice grant(const std::string& node, routing::Backend& engine, const forwarding::place_query& query);
+  placement_choice assign(const std::string& node, routing::Backend& engine, const forwarding::place_query& query);
   /// Handles a call for which every engine is full: refers it to another zone, queues it or rejects it.
-  placement_choice hold(const caller& who, const engine_domain& domain, const forwarding::place_query& query,
-                        const std::vector<routing::Backend*>& open, bool final);
-  void serve_soon();
+  placement_choice handle_full_domain(const caller& origin, const engine_domain& domain,
+                                      const forwarding::place_query& query, const std::vector<routing::Backend*>& open,
+                                      bool final);
+  void schedule_serving();
   void serve_waiting();
   /// @return whether a waiting call of @p domain was assigned an engine or referred to another zone.
   bool serve_first(const engine_domain& domain);
-  void answer(const PeerAddress& to, std::uint64_t request, const placement_choice& choice);
+  void send_reply(const PeerAddress& to, std::uint64_t request, const placement_choice& choice);
   void deliver(const engine_domain& domain, const waiting_call& call, const placement_choice& choice);
   /// @return whether @p engine is unresponsive to its callers or ejected for failing their calls.
-  bool in_trouble(const BackendId& engine) const;
-  bool all_in_trouble(const std::vector<routing::Backend*>& engines) const;
+  bool is_unhealthy(const BackendId& engine) const;
+  bool all_unhealthy(const std::vector<routing::Backend*>& engines) const;
   /// Counts one free slot of the zone that it returns as taken.
   /// @return the other zone of the pool with most free slots, as last reported; nothing if none is known to have
   /// enough.
-  std::optional<std::string> roomier_zone(const engine_domain& domain);
-  void tell_room();
+  std::optional<std::string> zone_with_free_slots(const engine_domain& domain);
+  void report_free_slots();
   void maintain();
 
   Environment& environment_;
@@ -109,14 +111,14 @@
   const wire::MemberT& self_;
   const std::shared_ptr<const policy::call_order> order_;
   routing::shared_calls calls_;
-  kept_starts starts_;
-  routing::warm_up_pace pace_;
+  prefix_cache_tracker cached_prefixes_;
+  routing::warm_up_pace warm_up_pace_;
   waiting_calls waiting_;
-  bool serving_soon_ = false;
-  bool tells_room_ = false;  ///< Whether free slots are reported, which ends when no domain is asked for.
-  failing_engines failing_;
-  std::map<engine_domain, room> rooms_;           ///< Free slots that other coordinators reported.
-  std::map<engine_domain, Timestamp> asked_for_;  ///< When callers last asked this node for engines of a domain.
+  bool serving_scheduled_ = false;
+  bool reports_free_slots_ = false;  ///< Whether free slots are reported, which ends when no domain is asked for.
+  failing_engines failing_engines_;
+  std::map<engine_domain, free_slot_report> free_slot_reports_;  ///< Free slots that other coordinators reported.
+  std::map<engine_domain, Timestamp> last_asked_;  ///< When callers last asked this node for engines of a domain.
   Lifetime lifetime_;
 };
 
--- a/src/placement/duties.cpp
+++ b/src/placement/duties.cpp
@@ -15,18 +15,18 @@
 /// One in this many schedulers manages jobs. With few queues, the jobs with the nearest deadlines go first.
 constexpr std::size_t kSchedulersPerManager = 32;
 /// Number of a zone's highest-capacity gateways that are candidates for coordinators.
-constexpr std::size_t kMostCoordinators = 3;
+constexpr std::size_t kMaxCoordinators = 3;
 
-std::size_t part_of(std::size_t count, std::size_t divisor) { return std::max<std::size_t>(1, count / divisor); }
+std::size_t fraction_of(std::size_t count, std::size_t divisor) { return std::max<std::size_t>(1, count / divisor); }
 
 }  // namespace
 
 void duties::refresh() const {
-  if (version_ == members_.version()) {
+  if (members_version_ == members_.version()) {
     return;
   }
-  version_ = members_.version();
-  divided_ = members_.available(Role::gateway).size() > kMostSharingGateways;
+  members_version_ = members_.version();
+  divided_ = members_.available(Role::gateway).size() > kMaxSharingGateways;
   const auto better_equipped = [](const candidate& left, const candidate& right) {
     const std::uint32_t left_capacity = left.member->capacity;
     const std::uint32_t right_capacity = right.member->capacity;
@@ -44,9 +44,9 @@
     dispatchers_[divided_ ? member->zone : ""].push_back(scheduler);
   }
   if (divided_) {
-    keep_first(managers_, part_of(managers_.size(), kSchedulersPerManager));
+    keep_first(managers_, fraction_of(managers_.size(), kSchedulersPerManager));
     for (auto& [zone, schedulers] : dispatchers_) {
-      keep_first(schedulers, part_of(schedulers.size(), kSchedulersPerDispatcher));
+      keep_first(schedulers, fraction_of(schedulers.size(), kSchedulersPerDispatcher));
     }
   }
   all_dispatchers_.clear();
@@ -59,20 +59,20 @@
   }
   for (auto& [zone, gateways] : gateways_) {
     candidates all = gateways;
-    keep_first(gateways, kMostCoordinators);
-    // A gateway that answers no probes is skipped in favor of the next in rank. If none of the first kMostCoordinators
+    keep_first(gateways, kMaxCoordinators);
+    // A gateway that answers no probes is skipped in favor of the next in rank. If none of the first kMaxCoordinators
     // answers, they are chosen from the zone's other gateways.
-    const auto silent = [](const candidate& one) { return one.member->state != wire::MemberState::Alive; };
-    std::erase_if(gateways, silent);
+    const auto unresponsive = [](const candidate& one) { return one.member->state != wire::MemberState::Alive; };
+    std::erase_if(gateways, unresponsive);
     if (gateways.empty()) {
-      std::erase_if(all, silent);
+      std::erase_if(all, unresponsive);
       gateways = std::move(all);
-      keep_first(gateways, kMostCoordinators);
+      keep_first(gateways, kMaxCoordinators);
     }
   }
 }
 
-const wire::MemberT* duties::best_of(const candidates& among, std::string_view key) {
+const wire::MemberT* duties::highest_ranked(const candidates& among, std::string_view key) {
   const std::uint64_t key_hash = stable_hash(key);
   const wire::MemberT* best = nullptr;
   std::uint64_t best_weight = 0;
@@ -92,7 +92,7 @@
 }
 
 const wire::MemberT* duties::dispatcher_of(std::string_view engine, const std::string& zone) const {
-  return best_of(dispatchers_in(zone), engine);
+  return highest_ranked(dispatchers_in(zone), engine);
 }
 
 const duties::candidates& duties::dispatchers_in(const std::string& zone) const {
@@ -101,21 +101,21 @@
   return here == dispatchers_.end() ? all_dispatchers_ : here->second;
 }
 
-bool duties::has_self(const candidates& among) const {
+bool duties::contains_self(const candidates& among) const {
   const wire::MemberT& self = members_.self();
   return std::any_of(among.begin(), among.end(), [&self](const candidate& one) { return one.member == &self; });
 }
 
-bool duties::dispatches_in(const std::string& zone) const { return has_self(dispatchers_in(zone)); }
+bool duties::dispatches_in(const std::string& zone) const { return contains_self(dispatchers_in(zone)); }
 
 bool duties::dispatches() const {
   refresh();
-  return has_self(all_dispatchers_);
+  return contains_self(all_dispatchers_);
 }
 
 const wire::MemberT* duties::manager_of(std::string_view job) const {
   refresh();
-  return best_of(managers_, job);
+  return highest_ranked(managers_, job);
 }
 
 std::vector<PeerAddress> duties::managers() const {
--- a/src/placement/duties.hpp
+++ b/src/placement/duties.hpp
@@ -14,7 +14,7 @@
 
 /// Up to this many gateways, each one reports its calls to all others. In a larger fleet a few nodes decide for all
 /// (see docs/design/placement.md).
-inline constexpr std::size_t kMostSharingGateways = 25;
+inline constexpr std::size_t kMaxSharingGateways = 25;
 
 /// Assigns duties by the membership alone, so that nodes with the same view agree. Among the nodes that are eligible
 /// for a duty, those with the higher capacity come first. Single threaded.
@@ -51,12 +51,12 @@
   void refresh() const;
   /// @return the schedulers that may run batch work on engines of @p zone.
   const candidates& dispatchers_in(const std::string& zone) const;
-  bool has_self(const candidates& among) const;
-  static const wire::MemberT* best_of(const candidates& among, std::string_view key);
+  bool contains_self(const candidates& among) const;
+  static const wire::MemberT* highest_ranked(const candidates& among, std::string_view key);
 
   const membership::Membership& members_;
   /// Membership version from which the fields below were derived; they are rebuilt when it changes.
-  mutable std::uint64_t version_ = 0;
+  mutable std::uint64_t members_version_ = 0;
   mutable bool divided_ = false;
   mutable candidates managers_;
   mutable candidates all_dispatchers_;
--- a/src/placement/engine_domain.hpp
+++ b/src/placement/engine_domain.hpp
@@ -14,7 +14,7 @@
   std::string zone;  ///< Empty: all zones.
 
   /// @return whether the domain contains @p backend, which must be an engine of the pool.
-  bool has(const routing::Backend& backend) const { return zone.empty() || backend.machine.zone == zone; }
+  bool contains(const routing::Backend& backend) const { return zone.empty() || backend.machine.zone == zone; }
   std::string key() const { return "engines " + pool + " " + zone; }
   auto operator<=>(const engine_domain&) const = default;
 };
@@ -22,8 +22,8 @@
 /// @return the domain that contains the engines of @p pool in @p zone.
 inline engine_domain domain_in(const routing::Registry& registry, const std::string& pool, const std::string& zone) {
   /// Pools with fewer engines are not split by zone, since some zones would have hardly any engines.
-  constexpr std::size_t kLeastSplit = 24;
-  return {pool, registry.pool_size(pool) >= kLeastSplit ? zone : std::string()};
+  constexpr std::size_t kMinSplitEngines = 24;
+  return {pool, registry.pool_size(pool) >= kMinSplitEngines ? zone : std::string()};
 }
 
 /// @return the domain of @p pool that contains @p backend.
--- a/src/placement/failing_engines.hpp
+++ b/src/placement/failing_engines.hpp
@@ -26,19 +26,19 @@
   void count_call(const BackendId& engine, Timestamp now);
   void record(const BackendId& engine, call_trouble trouble, Timestamp now);
   /// @return whether @p engine is ejected at @p now: it should get no calls while other engines are available.
-  bool aside(const BackendId& engine, Timestamp now) const;
+  bool is_ejected(const BackendId& engine, Timestamp now) const;
   /// Removes engines whose last failure is long ago.
   void forget_old(Timestamp now);
 
  private:
-  struct history {
+  struct failure_history {
     Timestamp failed_at{};
     std::vector<Timestamp> failures;  ///< Those of the last second.
-    Timestamp aside_until{};
+    Timestamp ejected_until{};
     unsigned doublings = 0;
   };
 
-  std::map<BackendId, history> engines_;
+  std::map<BackendId, failure_history> engines_;
   std::map<BackendId, policy::rate_meter> calls_;
 };
 
--- a/src/placement/kept_starts.hpp
+++ b/src/placement/kept_starts.hpp
@@ -12,16 +12,16 @@
 
 /// A prefix counts as cached for some time after its last use, since engines evict the least recently used prefixes
 /// first. Memory is bounded: while the table is full, new prefixes are not tracked. Single threaded.
-class kept_starts {
+class prefix_cache_tracker {
  public:
-  void used(const std::string& key, const BackendId& engine, Timestamp now);
-  bool keeps(const std::string& key, const BackendId& engine, Timestamp now) const;
+  void record_use(const std::string& key, const BackendId& engine, Timestamp now);
+  bool likely_cached(const std::string& key, const BackendId& engine, Timestamp now) const;
   /// Removes all prefixes of an engine that has ended or restarted.
   void forget(const BackendId& engine);
   void forget_old(Timestamp now);
 
  private:
-  std::map<std::string, std::map<BackendId, Timestamp>> used_at_;
+  std::map<std::string, std::map<BackendId, Timestamp>> last_used_;
 };
 
 }  // namespace madderdeck::placement
--- a/src/placement/place_client.hpp
+++ b/src/placement/place_client.hpp
@@ -22,17 +22,17 @@
  public:
   /// @param own this node's coordinator, which is called directly for the domains that it coordinates.
   place_client(Environment& environment, Counters& counters, DecisionLog& log, routing::Registry& registry,
-               const duties& who, const wire::MemberT& self, coordinator& own);
+               const duties& node_duties, const wire::MemberT& self, coordinator& own);
 
   /// @return whether coordinators choose the engines, which they do in large fleets whose prompts have no long shared
   ///         prefixes. With such prefixes, choice by exact call counts spreads requests with the same prefix over more
   ///         engines, each of which has to prefill it: in a fleet of 250 gateways and prompts with 13,300 shared
   ///         tokens, 15.5 million prefix tokens were prefilled again with coordinators, and 11.3 million with affinity
   ///         and reports.
-  bool active() const override { return duties_.divided() && long_starts_ < kMostLongStarts; }
+  bool active() const override { return duties_.divided() && long_prefix_share_ < kMaxLongPrefixShare; }
   void note_request(bool long_start) override;
   ticket place(const forwarding::place_query& query, placed done) override;
-  void withdraw(ticket question) override;
+  void withdraw(ticket request_id) override;
   void handle(const PeerAddress& sender, const wire::PlaceReplyT& message);
   /// Called with an engine that was assigned too late to be used; its coordinator counts a call that never comes.
   std::function<void(const BackendId&)> on_unused;
@@ -45,25 +45,25 @@
     placed done;
     engine_domain domain;
     bool final = false;
-    PeerAddress asked;
+    PeerAddress coordinator_address;
     Timestamp asked_at{};
     Timestamp started{};
-    bool waiting = false;     ///< The coordinator has queued the call and will assign an engine.
-    std::uint64_t round = 0;  ///< Number of the request for this call; timers of earlier ones do nothing.
+    bool waiting = false;       ///< The coordinator has queued the call and will assign an engine.
+    std::uint64_t attempt = 0;  ///< Number of the request for this call; timers of earlier ones do nothing.
   };
-  struct silence {
+  struct reply_state {
     unsigned unanswered = 0;  ///< Consecutive requests without a reply.
     Timestamp avoided_until{};
   };
 
   engine_domain domain_for(const forwarding::place_query& query) const;
   /// Sends the first or a repeated request for a pending call.
-  void ask(ticket question);
-  void send_question(ticket question, const pending& asked, const wire::MemberT& member);
-  void take(ticket question, const placement_choice& choice);
-  void finish(ticket question, const forwarding::place_outcome& outcome);
-  void ask_again_later(ticket question);
-  void on_silence(ticket question, std::uint64_t round);
+  void ask(ticket request_id);
+  void send_request(ticket request_id, const pending& call, const wire::MemberT& member);
+  void take(ticket request_id, const placement_choice& choice);
+  void finish(ticket request_id, const forwarding::place_outcome& outcome);
+  void schedule_repeat(ticket request_id);
+  void on_reply_timeout(ticket request_id, std::uint64_t attempt);
 
   Environment& environment_;
   Counters& counters_;
@@ -71,13 +71,13 @@
   routing::Registry& registry_;
   const duties& duties_;
   const wire::MemberT& self_;
-  coordinator& own_;
+  coordinator& own_coordinator_;
   std::map<std::uint64_t, pending> pending_;
-  std::map<PeerAddress, silence> silences_;
+  std::map<PeerAddress, reply_state> reply_states_;
   /// A single request with a long prefix keeps the average above this limit for some 350 requests. With one such
   /// request in ten, a gateway decides after the first ones.
-  static constexpr double kMostLongStarts = 0.001;
-  double long_starts_ = 0;  ///< Moving average of the fraction of requests with a long shared prefix.
+  static constexpr double kMaxLongPrefixShare = 0.001;
+  double long_prefix_share_ = 0;  ///< Moving average of the fraction of requests with a long shared prefix.
   std::uint64_t next_request_ = 0;
   Lifetime lifetime_;
 };
--- a/src/placement/slot_choice.hpp
+++ b/src/placement/slot_choice.hpp
@@ -14,18 +14,18 @@
   double live = 0;   ///< Live calls at the engine.
   double batch = 0;  ///< Batch items at the engine; they yield their slots to live calls.
   double slots = 1;
-  double slowness = 1;       ///< Ratio of its time to the first token to the median over the engines; at least 1.
-  Duration reading_left{};   ///< Expected time until it has prefilled the long prompts that were sent to it.
-  bool keeps_start = false;  ///< The prefix of the call's prompt is likely in its cache.
-  std::uint64_t rank = 0;    ///< Breaks ties between engines; the greatest rank wins.
+  double slowness = 1;         ///< Ratio of its time to the first token to the median over the engines; at least 1.
+  Duration prefill_left{};     ///< Expected time until it has prefilled the long prompts that were sent to it.
+  bool prefix_cached = false;  ///< The prefix of the call's prompt is likely in its cache.
+  std::uint64_t rank = 0;      ///< Breaks ties between engines; the greatest rank wins.
 
   bool has_free_slot() const { return live + batch < slots; }
-  bool has_slot() const { return live < slots; }
+  bool has_slot_for_live_call() const { return live < slots; }
 };
 
 /// The times of a call that the choice depends on. Immutable.
 struct call_view {
-  Duration reading{};        ///< Prefill time that a cached prefix saves; zero if the prompt has no long prefix.
+  Duration prefill{};        ///< Prefill time that a cached prefix saves; zero if the prompt has no long prefix.
   Duration holding{};        ///< How long a call holds its slot, on average.
   Duration first_token{};    ///< Median time to the first token.
   Duration time_to_yield{};  ///< Time that batch work takes to yield a slot.
--- a/src/placement/waiting_calls.cpp
+++ b/src/placement/waiting_calls.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 /// A call is dropped after this time without a request for it; three consecutive repeats may get lost.
-constexpr Duration kGone = 4 * waiting_calls::kRefresh;
+constexpr Duration kRequestLifetime = 4 * waiting_calls::kRepeatInterval;
 
-const std::vector<waiting_call> kNone;
+const std::vector<waiting_call> kNoCalls;
 
 }  // namespace
 
@@ -25,14 +25,14 @@
   return found;
 }
 
-bool waiting_calls::refresh(const engine_domain& domain, const caller& who, Timestamp now) {
+bool waiting_calls::refresh(const engine_domain& domain, const caller& origin, Timestamp now) {
   const auto calls = calls_.find(domain);
   if (calls == calls_.end()) {
     return false;
   }
   for (waiting_call& call : calls->second) {
-    if (call.who.same_question(who)) {
-      call.heard_at = now;
+    if (call.origin.same_request(origin)) {
+      call.last_request_at = now;
       return true;
     }
   }
@@ -44,9 +44,10 @@
   ++count_;
 }
 
-void waiting_calls::withdraw(const caller& who) {
+void waiting_calls::withdraw(const caller& origin) {
   for (auto entry = calls_.begin(); entry != calls_.end();) {
-    count_ -= std::erase_if(entry->second, [&who](const waiting_call& call) { return call.who.same_question(who); });
+    count_ -=
+        std::erase_if(entry->second, [&origin](const waiting_call& call) { return call.origin.same_request(origin); });
     entry = entry->second.empty() ? calls_.erase(entry) : std::next(entry);
   }
 }
@@ -65,7 +66,7 @@
 const std::vector<waiting_call>& waiting_calls::in_order(const engine_domain& domain, Timestamp now) {
   const auto calls = calls_.find(domain);
   if (calls == calls_.end()) {
-    return kNone;
+    return kNoCalls;
   }
   std::stable_sort(calls->second.begin(), calls->second.end(), [this, now](const auto& left, const auto& right) {
     return order_.before(left.outlook(now), right.outlook(now));
@@ -85,11 +86,12 @@
   return call;
 }
 
-std::size_t waiting_calls::drop_silent(Timestamp now) {
+std::size_t waiting_calls::drop_expired(Timestamp now) {
   const std::size_t before = count_;
   for (auto entry = calls_.begin(); entry != calls_.end();) {
-    count_ -= std::erase_if(
-        entry->second, [now](const waiting_call& call) { return now - call.heard_at > kGone || now >= call.gone_at; });
+    count_ -= std::erase_if(entry->second, [now](const waiting_call& call) {
+      return now - call.last_request_at > kRequestLifetime || now >= call.expires_at;
+    });
     entry = entry->second.empty() ? calls_.erase(entry) : std::next(entry);
   }
   return before - count_;
--- a/src/placement/waiting_calls.hpp
+++ b/src/placement/waiting_calls.hpp
@@ -17,29 +17,29 @@
   std::uint64_t request = 0;  ///< Number of the request, unique at its node.
   PeerAddress address;        ///< Peer address to which replies are sent.
 
-  bool same_question(const caller& other) const { return node == other.node && request == other.request; }
+  bool same_request(const caller& other) const { return node == other.node && request == other.request; }
 };
 
 /// A call that waits for a slot.
 struct waiting_call {
-  caller who;
+  caller origin;
   forwarding::place_query query;
   Timestamp arrived{};
-  Timestamp due_at{};   ///< A call that starts later misses its latency target.
-  Timestamp gone_at{};  ///< The caller stops waiting at this time.
-  Timestamp heard_at{};
+  Timestamp due_at{};      ///< A call that starts later misses its latency target.
+  Timestamp expires_at{};  ///< The caller stops waiting at this time.
+  Timestamp last_request_at{};
 
   policy::call_outlook outlook(Timestamp now) const { return {query.rank, due_at - now, now - arrived}; }
 };
 
-/// Holds only the requests for engines: the call itself stays at its gateway, which repeats the request every kRefresh
-/// and turns to another coordinator when this node fails. Single threaded.
+/// Holds only the requests for engines: the call itself stays at its gateway, which repeats the request every
+/// kRepeatInterval and turns to another coordinator when this node fails. Single threaded.
 class waiting_calls {
  public:
   /// Interval at which a gateway repeats the request for a call that waits.
-  static constexpr Duration kRefresh = 300ms;
+  static constexpr Duration kRepeatInterval = 300ms;
   /// Maximum number of calls that wait at one coordinator; each takes about 300 bytes.
-  static constexpr std::size_t kMost = 8'192;
+  static constexpr std::size_t kMaxCalls = 8'192;
 
   /// @param order outlives this.
   explicit waiting_calls(const policy::call_order& order) : order_(order) {}
@@ -50,9 +50,9 @@
   std::vector<engine_domain> domains() const;
   /// Marks a waiting call as still wanted by its gateway.
   /// @return whether the call is in the queue.
-  bool refresh(const engine_domain& domain, const caller& who, Timestamp now);
+  bool refresh(const engine_domain& domain, const caller& origin, Timestamp now);
   void add(const engine_domain& domain, waiting_call call);
-  void withdraw(const caller& who);
+  void withdraw(const caller& origin);
   /// @return how many waiting calls of @p domain would be served before @p call.
   std::size_t ahead_of(const engine_domain& domain, const waiting_call& call, Timestamp now) const;
   /// @return the waiting calls of @p domain in the order in which they are to be served at @p now.
@@ -61,7 +61,7 @@
   waiting_call take(const engine_domain& domain, std::size_t position);
   /// Drops calls whose gateway no longer repeats the request, or whose caller has stopped waiting.
   /// @return how many calls were dropped.
-  std::size_t drop_silent(Timestamp now);
+  std::size_t drop_expired(Timestamp now);
 
  private:
   const policy::call_order& order_;
--- a/src/tenancy/rate_keeper.hpp
+++ b/src/tenancy/rate_keeper.hpp
@@ -38,7 +38,7 @@
 
 /// How long a grant is valid. The window in which grants are counted is longer by this time, so that no window of uses
 /// exceeds the limit, however late each grant is used.
-inline constexpr Duration kGrantUseful = 250ms;
+inline constexpr Duration kGrantLifetime = 250ms;
 
 /// Counts for each node what it was granted or what it reports to have used, whichever is more. A keeper that has just
 /// taken over thus learns from each node's first request what the previous keeper had granted to it. The usage of a
@@ -60,28 +60,28 @@
   double allowed(const rate_limit& limit) const;
 
  private:
-  struct user {
+  struct node_usage {
     usage_window granted;
     std::uint32_t reported = 0;       ///< Usage that the node reported with its latest request.
     std::uint32_t granted_since = 0;  ///< Requests granted to it by that request and since.
     Timestamp reported_at{};
-    double reserved = 0;  ///< Usage counted for the node while it is unreachable.
-    Timestamp lost_at{};  ///< When the node was first found unreachable; zero while it is reachable.
+    double reserved = 0;            ///< Usage counted for the node while it is unreachable.
+    Timestamp unreachable_since{};  ///< When the node was first found unreachable; zero while it is reachable.
 
-    explicit user(Duration span) : granted(span) {}
+    explicit node_usage(Duration span) : granted(span) {}
   };
   struct account {
     stated_rate rate;
-    std::map<std::string, user> users;
-    usage_window all;
+    std::map<std::string, node_usage> usage_by_node;
+    usage_window all_grants;
 
-    explicit account(Duration span) : all(span) {}
+    explicit account(Duration span) : all_grants(span) {}
   };
 
-  Duration span() const { return window_ + kGrantUseful; }
-  double level(const user& one, Timestamp now) const;
+  Duration span() const { return window_ + kGrantLifetime; }
+  double node_total(const node_usage& usage, Timestamp now) const;
   /// @return the usage over all nodes, including what is reserved for unreachable nodes.
-  double used(account& of, const reachable& is_reachable, Timestamp now);
+  double total_usage(account& tenant_account, const reachable& is_reachable, Timestamp now);
 
   const Duration window_;
   std::map<std::string, account> accounts_;
--- a/src/tenancy/rate_limiter.cpp
+++ b/src/tenancy/rate_limiter.cpp
@@ -10,19 +10,19 @@
 using membership::Role;
 
 /// Reply timeout. A round trip within a region takes 1 to 5 ms, with an overloaded node some tens of milliseconds.
-constexpr Duration kPatience = 40ms;
+constexpr Duration kReplyTimeout = 40ms;
 /// How long an unresponsive keeper is not asked; by then, probes have shown whether it has failed.
-constexpr Duration kLeftAlone = 500ms;
-constexpr Duration kMaintenance = 5s;  ///< Interval at which idle tenants and expired entries are removed.
+constexpr Duration kAvoidedTime = 500ms;
+constexpr Duration kMaintenanceInterval = 5s;  ///< Interval at which idle tenants and expired entries are removed.
 /// Time after the start during which undecided requests are retried; by then, nodes that start together know each
 /// other.
-constexpr Duration kYoung = 3s;
-constexpr Duration kTryAgain = 60ms;  ///< Longer than a request and its reply take.
+constexpr Duration kStartupTime = 3s;
+constexpr Duration kRetryDelay = 60ms;  ///< Longer than a request and its reply take.
 /// With an unresponsive keeper at each attempt, retries take 600 ms; after that, a refusal is better for the caller.
-constexpr unsigned kMostTries = 5;
-constexpr Duration kLeastRetry = 100ms;  ///< An earlier retry would most likely be refused again.
+constexpr unsigned kMaxRetries = 5;
+constexpr Duration kMinRetryAfter = 100ms;  ///< An earlier retry would most likely be refused again.
 /// Larger grants would only expire unused.
-constexpr std::uint32_t kMostWanted = 64;
+constexpr std::uint32_t kMaxWanted = 64;
 
 std::string keeper_key(const std::string& tenant) { return "tenant-rate/" + tenant; }
 
@@ -35,19 +35,19 @@
       log_(log),
       members_(members),
       window_(window),
-      own_(window),
+      own_keeper_(window),
       next_request_(environment.random()) {}
 
 void rate_limiter::start() {
   started_ = environment_.now();
-  environment_.after(kMaintenance, lifetime_.guard([this] { maintain(); }));
+  environment_.after(kMaintenanceInterval, lifetime_.guard([this] { maintain(); }));
 }
 
 void rate_limiter::maintain() {
-  environment_.after(kMaintenance, lifetime_.guard([this] { maintain(); }));
+  environment_.after(kMaintenanceInterval, lifetime_.guard([this] { maintain(); }));
   const Timestamp now = environment_.now();
-  own_.forget_idle(now);
-  std::erase_if(silent_until_, [now](const auto& entry) { return entry.second <= now; });
+  own_keeper_.forget_idle(now);
+  std::erase_if(avoided_until_, [now](const auto& entry) { return entry.second <= now; });
   std::erase_if(accounts_, [now](const auto& entry) { return entry.second.used.sum(now) == 0; });
 }
 
@@ -78,7 +78,7 @@
   return reachable_nodes_.contains(node);
 }
 
-bool rate_limiter::alone() const {
+bool rate_limiter::knows_no_peer() const {
   refresh_view();
   return members_.has_seeds() && !members_.is_seed() && gateways_known_ <= 1;
 }
@@ -88,19 +88,20 @@
     done({true, {}});
     return;
   }
-  account& of = account_of(rate.tenant);
+  account& tenant_account = account_of(rate.tenant);
   const Timestamp now = environment_.now();
-  if (of.held > 0 && now < of.held_until) {
-    --of.held;
-    let_in(of, done);
+  if (tenant_account.unused_grants > 0 && now < tenant_account.grants_expire_at) {
+    --tenant_account.unused_grants;
+    let_in_now(tenant_account, done);
     return;
   }
   const wire::MemberT* keeper = keeper_of(rate.tenant);
-  const auto silent = keeper == nullptr ? silent_until_.end() : silent_until_.find(PeerAddress(keeper->peer_address));
-  if (keeper == nullptr || alone() || (silent != silent_until_.end() && now < silent->second)) {
+  const auto avoided =
+      keeper == nullptr ? avoided_until_.end() : avoided_until_.find(PeerAddress(keeper->peer_address));
+  if (keeper == nullptr || knows_no_peer() || (avoided != avoided_until_.end() && now < avoided->second)) {
     on_undecided(request, rate, tries, done);
   } else if (keeper->id == members_.self().id) {
-    const auto answer = own_.decide(
+    const auto answer = own_keeper_.decide(
         question_for(rate), [this](const std::string& node) { return is_reachable(node); }, gateways_known_, now);
     take_answer(request, rate, answer, now, done);
   } else {
@@ -109,29 +110,29 @@
 }
 
 rate_question rate_limiter::question_for(const stated_rate& rate) {
-  account& of = account_of(rate.tenant);
+  account& tenant_account = account_of(rate.tenant);
   const Timestamp now = environment_.now();
   rate_question question;
   question.node = members_.self().id;
   question.rate = rate;
-  question.recent = of.used.sum(now);
+  question.recent = tenant_account.used.sum(now);
   // The number of requests expected while the grant is valid, by the average over the window.
-  const double recent_part = std::chrono::duration<double>(kGrantUseful) / std::chrono::duration<double>(window_);
+  const double valid_fraction = std::chrono::duration<double>(kGrantLifetime) / std::chrono::duration<double>(window_);
   question.wanted =
-      std::clamp<std::uint32_t>(static_cast<std::uint32_t>(question.recent * recent_part), 1, kMostWanted);
+      std::clamp<std::uint32_t>(static_cast<std::uint32_t>(question.recent * valid_fraction), 1, kMaxWanted);
   return question;
 }
 
 void rate_limiter::on_undecided(const std::string& request, const stated_rate& rate, unsigned tries,
                                 const decided& done) {
-  const bool young = environment_.now() - started_ < kYoung;
-  if (!young || tries >= kMostTries) {
-    decide_by_own_part(request, rate, done);
+  const bool starting = environment_.now() - started_ < kStartupTime;
+  if (!starting || tries >= kMaxRetries) {
+    decide_by_own_share(request, rate, done);
     return;
   }
   counters_["tenant_rate_asked_again_total"]++;
   environment_.after(
-      kTryAgain, lifetime_.guard([this, request, rate, tries, done] { try_admit(request, rate, tries + 1, done); }));
+      kRetryDelay, lifetime_.guard([this, request, rate, tries, done] { try_admit(request, rate, tries + 1, done); }));
 }
 
 void rate_limiter::ask(const wire::MemberT& keeper, const std::string& request, const stated_rate& rate, unsigned tries,
@@ -149,13 +150,13 @@
   const PeerAddress address(keeper.peer_address);
   pending_.emplace(message.request, pending{request, rate, std::move(done), address, environment_.now(), tries});
   counters_["tenant_rate_questions_total"]++;
-  environment_.after(kPatience, lifetime_.guard([this, number = message.request] {
+  environment_.after(kReplyTimeout, lifetime_.guard([this, number = message.request] {
     auto node = pending_.extract(number);
     if (node.empty()) {
       return;
     }
     counters_["tenant_rate_keeper_silent_total"]++;
-    silent_until_[node.mapped().keeper] = environment_.now() + kLeftAlone;
+    avoided_until_[node.mapped().keeper] = environment_.now() + kAvoidedTime;
     on_undecided(node.mapped().request, node.mapped().rate, node.mapped().tries, node.mapped().done);
   }));
   send_message(environment_, address, std::move(message));
@@ -173,7 +174,7 @@
     question.rate = {message.tenant, message.version, {message.per_second, message.burst}};
     question.wanted = message.wanted;
     question.recent = message.recent;
-    const auto answer = own_.decide(
+    const auto answer = own_keeper_.decide(
         question, [this, &message](const std::string& node) { return node == message.node || is_reachable(node); },
         gateways_known_, environment_.now());
     reply.granted = answer.granted;
@@ -201,45 +202,45 @@
 
 void rate_limiter::take_answer(const std::string& request, const stated_rate& rate, const rate_answer& answer,
                                Timestamp asked_at, const decided& done) {
-  account& of = account_of(rate.tenant);
+  account& tenant_account = account_of(rate.tenant);
   const Timestamp now = environment_.now();
-  of.part = answer.used > 0 ? std::min(1.0, of.used.sum(now) / answer.used) : 0;
-  of.keeper_known = true;
-  note_way(of, rate.tenant, false);
+  tenant_account.share = answer.used > 0 ? std::min(1.0, tenant_account.used.sum(now) / answer.used) : 0;
+  tenant_account.had_keeper_reply = true;
+  log_decision_source(tenant_account, rate.tenant, false);
   if (answer.granted == 0) {
     refuse(request, rate, answer, "keeper", done);
     return;
   }
-  const bool still_held = now < of.held_until;
-  of.held = (still_held ? of.held : 0) + answer.granted - 1;
-  of.held_until = asked_at + kGrantUseful;
-  let_in(of, done);
+  const bool grants_valid = now < tenant_account.grants_expire_at;
+  tenant_account.unused_grants = (grants_valid ? tenant_account.unused_grants : 0) + answer.granted - 1;
+  tenant_account.grants_expire_at = asked_at + kGrantLifetime;
+  let_in_now(tenant_account, done);
 }
 
 /// Admits one request per window even if the node's share is less: limits have some slack, and a tenant that sends few
 /// requests would otherwise have all of them refused.
-void rate_limiter::decide_by_own_part(const std::string& request, const stated_rate& rate, const decided& done) {
-  account& of = account_of(rate.tenant);
-  note_way(of, rate.tenant, true);
+void rate_limiter::decide_by_own_share(const std::string& request, const stated_rate& rate, const decided& done) {
+  account& tenant_account = account_of(rate.tenant);
+  log_decision_source(tenant_account, rate.tenant, true);
   refresh_view();
   const auto nodes = static_cast<double>(gateways_known_);
-  const double allowed = own_.allowed(rate.limit);
-  const double part = of.keeper_known || alone() ? of.part : 1 / nodes;
-  const double own = std::max(1.0, allowed * part);
+  const double allowed = own_keeper_.allowed(rate.limit);
+  const double share = tenant_account.had_keeper_reply || knows_no_peer() ? tenant_account.share : 1 / nodes;
+  const double own = std::max(1.0, allowed * share);
   counters_["tenant_rate_decided_by_part_total"]++;
-  if (of.used.sum(environment_.now()) + 1 <= own) {
-    let_in(of, done);
+  if (tenant_account.used.sum(environment_.now()) + 1 <= own) {
+    let_in_now(tenant_account, done);
     return;
   }
   rate_answer known;
-  known.used = of.used.sum(environment_.now());
+  known.used = tenant_account.used.sum(environment_.now());
   known.allowed = own;
-  known.retry_after = std::max<Duration>(kLeastRetry, of.used.until_freed(environment_.now(), 1));
+  known.retry_after = std::max<Duration>(kMinRetryAfter, tenant_account.used.time_until_freed(environment_.now(), 1));
   refuse(request, rate, known, "own part", done);
 }
 
-void rate_limiter::let_in(account& of, const decided& done) {
-  of.used.add(environment_.now(), 1);
+void rate_limiter::let_in_now(account& tenant_account, const decided& done) {
+  tenant_account.used.add(environment_.now(), 1);
   counters_["tenant_rate_let_in_total"]++;
   done({true, {}});
 }
@@ -257,15 +258,15 @@
   done({false, known.retry_after});
 }
 
-void rate_limiter::note_way(account& of, const std::string& tenant, bool by_own_part) {
-  if (of.by_own_part == by_own_part) {
+void rate_limiter::log_decision_source(account& tenant_account, const std::string& tenant, bool by_own_share) {
+  if (tenant_account.by_own_share == by_own_share) {
     return;
   }
-  of.by_own_part = by_own_part;
+  tenant_account.by_own_share = by_own_share;
   log_.record("tenant_rate_share", {{"tenant", tenant},
-                                    {"by", by_own_part ? "own part" : "keeper"},
-                                    {"part", of.part},
-                                    {"used", of.used.sum(environment_.now())}});
+                                    {"by", by_own_share ? "own part" : "keeper"},
+                                    {"part", tenant_account.share},
+                                    {"used", tenant_account.used.sum(environment_.now())}});
 }
 
 }  // namespace madderdeck::tenancy
--- a/src/tenancy/rate_limiter.hpp
+++ b/src/tenancy/rate_limiter.hpp
@@ -22,7 +22,7 @@
 
 /// Each tenant has a keeper, the first of the gateways in rendezvous order, that counts its requests for all nodes. One
 /// exchange of datagrams with the keeper covers a request, or as many requests as the node has recently admitted within
-/// kGrantUseful. A node that gets no reply limits the tenant to its own share: the fraction of the usage that was its
+/// kGrantLifetime. A node that gets no reply limits the tenant to its own share: the fraction of the usage that was its
 /// own when a keeper last replied. The keeper reserves that share. Single threaded.
 class rate_limiter {
  public:
@@ -45,12 +45,12 @@
  private:
   /// What this node knows of a tenant.
   struct account {
-    usage_window used;       ///< Requests admitted by this node, with or without a keeper.
-    std::uint32_t held = 0;  ///< Requests granted and not used yet.
-    Timestamp held_until{};  ///< When these grants expire.
-    double part = 0;         ///< Fraction of the usage that was this node's when a keeper last replied.
-    bool keeper_known = false;
-    bool by_own_part = false;  ///< Whether the last decision was made without a keeper; for the log.
+    usage_window used;                ///< Requests admitted by this node, with or without a keeper.
+    std::uint32_t unused_grants = 0;  ///< Requests granted and not used yet.
+    Timestamp grants_expire_at{};     ///< When these grants expire.
+    double share = 0;                 ///< Fraction of the usage that was this node's when a keeper last replied.
+    bool had_keeper_reply = false;
+    bool by_own_share = false;  ///< Whether the last decision was made without a keeper; for the log.
 
     explicit account(Duration span) : used(span) {}
   };
@@ -72,17 +72,17 @@
   bool is_reachable(const std::string& node) const;
   void refresh_view() const;
   /// @return whether this node knows no other gateway yet although seed addresses are configured.
-  bool alone() const;
+  bool knows_no_peer() const;
   rate_question question_for(const stated_rate& rate);
   void ask(const wire::MemberT& keeper, const std::string& request, const stated_rate& rate, unsigned tries,
            decided done);
   void take_answer(const std::string& request, const stated_rate& rate, const rate_answer& answer, Timestamp asked_at,
                    const decided& done);
-  void decide_by_own_part(const std::string& request, const stated_rate& rate, const decided& done);
-  void let_in(account& of, const decided& done);
+  void decide_by_own_share(const std::string& request, const stated_rate& rate, const decided& done);
+  void let_in_now(account& tenant_account, const decided& done);
   void refuse(const std::string& request, const stated_rate& rate, const rate_answer& known, std::string_view by,
               const decided& done);
-  void note_way(account& of, const std::string& tenant, bool by_own_part);
+  void log_decision_source(account& tenant_account, const std::string& tenant, bool by_own_share);
   void maintain();
 
   Environment& environment_;
@@ -90,10 +90,10 @@
   DecisionLog& log_;
   const membership::Membership& members_;
   const Duration window_;
-  rate_keeper own_;
+  rate_keeper own_keeper_;
   std::map<std::string, account> accounts_;
   std::map<std::uint64_t, pending> pending_;
-  std::map<PeerAddress, Timestamp> silent_until_;  ///< Until when unresponsive keepers are not asked.
+  std::map<PeerAddress, Timestamp> avoided_until_;  ///< Until when unresponsive keepers are not asked.
   Timestamp started_{};
   std::uint64_t next_request_ = 0;
   /// Membership version from which the fields below were derived; they are rebuilt when it changes.
--- a/src/tenancy/tenant_directory.cpp
+++ b/src/tenancy/tenant_directory.cpp
@@ -7,11 +7,11 @@
 namespace madderdeck::tenancy {
 namespace {
 
-Error bad_tenant(const tenant& found, const std::string& problem) {
+Error tenant_error(const tenant& found, const std::string& problem) {
   return Error{ErrorKind::invalid_argument, "tenant '" + found.name + "': " + problem};
 }
 
-bool is_rate(double value) { return std::isfinite(value) && value >= 0; }
+bool is_valid_rate(double value) { return std::isfinite(value) && value >= 0; }
 
 }  // namespace
 
@@ -21,22 +21,22 @@
   for (std::size_t position = 0; position < tenants.size(); ++position) {
     const tenant& one = tenants[position];
     if (one.name.empty()) {
-      return bad_tenant(one, "a tenant must have a name");
+      return tenant_error(one, "a tenant must have a name");
     }
     if (!by_name.emplace(one.name, position).second) {
-      return bad_tenant(one, "duplicate tenant name");
+      return tenant_error(one, "duplicate tenant name");
     }
-    if (!is_rate(one.rate.per_second) || !is_rate(one.rate.burst)) {
-      return bad_tenant(one, "rate and burst must be finite numbers of at least 0");
+    if (!is_valid_rate(one.rate.per_second) || !is_valid_rate(one.rate.burst)) {
+      return tenant_error(one, "rate and burst must be finite numbers of at least 0");
     }
     for (const std::string& key : one.keys) {
       if (key.empty() || key.size() > kMaxKeyBytes) {
-        return bad_tenant(one, "key length is " + std::to_string(key.size()) + " bytes, must be 1 to " +
-                                   std::to_string(kMaxKeyBytes));
+        return tenant_error(one, "key length is " + std::to_string(key.size()) + " bytes, must be 1 to " +
+                                     std::to_string(kMaxKeyBytes));
       }
       const auto [entry, first] = by_key.emplace(key, position);
       if (!first && entry->second != position) {
-        return bad_tenant(
+        return tenant_error(
             one, "key " + key_fingerprint(key) + " already belongs to tenant '" + tenants[entry->second].name + "'");
       }
     }
--- a/src/tenancy/usage_window.cpp
+++ b/src/tenancy/usage_window.cpp
@@ -9,10 +9,10 @@
 
 }  // namespace
 
-Timestamp usage_window::leaves_at(const step& one) const { return kStep * (one.number + 1) + span_; }
+Timestamp usage_window::expires_at(const step& one) const { return kStep * (one.number + 1) + span_; }
 
 void usage_window::forget_old(Timestamp now) {
-  while (!steps_.empty() && leaves_at(steps_.front()) <= now) {
+  while (!steps_.empty() && expires_at(steps_.front()) <= now) {
     sum_ -= steps_.front().count;
     steps_.pop_front();
   }
@@ -30,18 +30,18 @@
 
 std::uint32_t usage_window::sum(Timestamp now) const {
   std::uint32_t left = sum_;
-  for (auto one = steps_.begin(); one != steps_.end() && leaves_at(*one) <= now; ++one) {
+  for (auto one = steps_.begin(); one != steps_.end() && expires_at(*one) <= now; ++one) {
     left -= one->count;
   }
   return left;
 }
 
-Duration usage_window::until_freed(Timestamp now, std::uint32_t count) const {
+Duration usage_window::time_until_freed(Timestamp now, std::uint32_t count) const {
   std::uint32_t freed = 0;
   for (const step& one : steps_) {
-    freed += leaves_at(one) > now ? one.count : 0;
+    freed += expires_at(one) > now ? one.count : 0;
     if (freed >= count) {
-      return std::max<Duration>(Duration::zero(), leaves_at(one) - now);
+      return std::max<Duration>(Duration::zero(), expires_at(one) - now);
     }
   }
   return span_;
--- a/src/tenancy/usage_window.hpp
+++ b/src/tenancy/usage_window.hpp
@@ -18,7 +18,7 @@
   /// @return the number of uses within the span before @p now.
   std::uint32_t sum(Timestamp now) const;
   /// @return the time until at least @p count of the uses in the window have expired; the whole span if it holds fewer.
-  Duration until_freed(Timestamp now, std::uint32_t count) const;
+  Duration time_until_freed(Timestamp now, std::uint32_t count) const;
 
  private:
   struct step {
@@ -27,7 +27,7 @@
   };
 
   void forget_old(Timestamp now);
-  Timestamp leaves_at(const step& one) const;
+  Timestamp expires_at(const step& one) const;
 
   const Duration span_;
   std::deque<step> steps_;
--- a/tests/placement/coordinator_test.cpp
+++ b/tests/placement/coordinator_test.cpp
@@ -40,8 +40,8 @@
     query.pool = kPool;
     return query;
   }
-  wire::EngineActivityT word(const std::string& node, const std::string& engine, std::uint32_t live,
-                             std::uint32_t batch, bool silent = false) const {
+  wire::EngineActivityT activity_report(const std::string& node, const std::string& engine, std::uint32_t live,
+                                        std::uint32_t batch, bool silent = false) const {
     wire::EngineActivityT message;
     message.node = node;
     auto entry = std::make_unique<wire::EngineCallsT>();
@@ -55,7 +55,7 @@
   void fill_zone(const std::string& zone) {
     for (const auto& [id, backend] : registry.backends()) {
       if (backend.machine.zone == zone) {
-        own.take(word("other", id.str(), kSlots, 0));
+        own.take(activity_report("other", id.str(), kSlots, 0));
       }
     }
   }
@@ -104,7 +104,7 @@
       }
       live[id] = *rc::gen::inRange<std::uint32_t>(0, kSlots + 1);
       free += kSlots - live[id];
-      fixture.own.take(fixture.word("other", id.str(), live[id], 0));
+      fixture.own.take(fixture.activity_report("other", id.str(), live[id], 0));
     }
     for (std::uint32_t call = 0; call < free; ++call) {
       const placement_choice choice = fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), true);
@@ -117,7 +117,7 @@
 TEST_CASE("batch work yields where no slot is free, and the answer says so") {
   gateway_fixture fixture;
   for (const auto& [id, backend] : fixture.registry.backends()) {
-    fixture.own.take(fixture.word("other", id.str(), 1, kSlots - 1));
+    fixture.own.take(fixture.activity_report("other", id.str(), 1, kSlots - 1));
   }
   const placement_choice choice = fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), true);
   REQUIRE(choice.place);
@@ -144,8 +144,8 @@
 
 TEST_CASE("an engine that several nodes hear nothing of gets no calls while others speak") {
   gateway_fixture fixture;
-  fixture.own.take(fixture.word("a", "e0", 1, 0, true));
-  fixture.own.take(fixture.word("b", "e0", 1, 0, true));
+  fixture.own.take(fixture.activity_report("a", "e0", 1, 0, true));
+  fixture.own.take(fixture.activity_report("b", "e0", 1, 0, true));
   for (int call = 0; call < 10; ++call) {
     const placement_choice choice = fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), true);
     REQUIRE(choice.place);
@@ -185,7 +185,7 @@
 
 TEST_CASE("a coordinator that does not answer keeps a call for 20 ms, and after two such calls the next one is asked") {
   gateway_fixture fixture;
-  fixture.fleet.say(fixture.self().id, wire::MemberState::Alive);
+  fixture.fleet.set_member_state(fixture.self().id, wire::MemberState::Alive);
   const engine_domain other{kPool, "z1"};  // this node is never its coordinator
   forwarding::place_query query = fixture.query();
   query.first = BackendId("e1");
@@ -254,7 +254,7 @@
   fixture.fleet.environment.world.run_for(60ms);
   const engine_domain domain = domain_of(fixture.registry, backend, kPool);
   const std::string first = fixture.client.coordinator_for(domain)->id;
-  fixture.fleet.say(first, wire::MemberState::Dead);
+  fixture.fleet.set_member_state(first, wire::MemberState::Dead);
   const PeerAddress next(fixture.client.coordinator_for(domain)->peer_address);
   fixture.fleet.environment.sent.clear();
   fixture.fleet.environment.world.run_for(101ms);
@@ -349,7 +349,7 @@
   fixture.own.start();
   const auto tell_times = [&fixture](std::uint32_t slow_ms) {
     for (const auto& [id, backend] : fixture.registry.backends()) {
-      wire::EngineActivityT message = fixture.word("other", id.str(), 0, 0);
+      wire::EngineActivityT message = fixture.activity_report("other", id.str(), 0, 0);
       message.engines.front()->first_ms = id == BackendId("e0") ? slow_ms : 20;
       fixture.own.take(message);
     }
@@ -370,8 +370,8 @@
 namespace {
 
 /// A coordinator that queues calls while all slots are taken.
-struct holding_fixture : gateway_fixture {
-  holding_fixture() { fill_zone("z0"); }
+struct queueing_fixture : gateway_fixture {
+  queueing_fixture() { fill_zone("z0"); }
 
   std::shared_ptr<const policy::call_order> order = std::make_shared<policy::attainable_call_order>();
   coordinator holder{fleet.environment, fleet.counters, log, registry, fleet.who, self(), order};
@@ -379,7 +379,7 @@
   void fill_zone(const std::string& zone) {
     for (const auto& [id, backend] : registry.backends()) {
       if (backend.machine.zone == zone) {
-        holder.take(word("other", id.str(), kSlots, 0));
+        holder.take(activity_report("other", id.str(), kSlots, 0));
       }
     }
   }
@@ -402,14 +402,14 @@
     }
     return found;
   }
-  void free_slots(std::uint32_t slots) { holder.take(word("other", "e0", kSlots - slots, 0)); }
+  void free_slots(std::uint32_t slots) { holder.take(activity_report("other", "e0", kSlots - slots, 0)); }
   void run_for(Duration time) { fleet.environment.world.run_for(time); }
 };
 
 }  // namespace
 
 TEST_CASE("calls wait while every slot is taken, and those that can be in time go first, then the late ones") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   CHECK(fixture.ask(1, -50ms).waiting);  // has already missed its target
   CHECK(fixture.ask(2, 200ms).waiting);
   CHECK(fixture.ask(3, 100ms).waiting);
@@ -425,11 +425,11 @@
 }
 
 TEST_CASE("a call that waits is asked for again without losing its place, and twice granted never") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   fixture.ask(1, 100ms);
   fixture.ask(2, 100ms);
   for (int repeat = 0; repeat < 10; ++repeat) {
-    fixture.run_for(waiting_calls::kRefresh);
+    fixture.run_for(waiting_calls::kRepeatInterval);
     CHECK(fixture.ask(1, 100ms).waiting);
     CHECK(fixture.ask(2, 100ms).waiting);
   }
@@ -439,7 +439,7 @@
 }
 
 TEST_CASE("who left or fell silent while it waited gets no slot") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   fixture.ask(1, 100ms);
   fixture.ask(2, 100ms);
   fixture.holder.withdraw({"asker", 1, {}});
@@ -452,7 +452,7 @@
 }
 
 TEST_CASE("a call that would wait for longer than its caller is rejected at once, with the time to come back") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   // Calls hold a slot for 700 ms, so that only some of the zone's slots become free within 60 ms.
   std::optional<Duration> retry_after;
   std::uint64_t request = 0;
@@ -509,7 +509,7 @@
   gateway_fixture fixture;
   for (const auto& [id, backend] : fixture.registry.backends()) {
     if (backend.machine.zone == kOwnDomain.zone) {
-      fixture.own.take(fixture.word("other", id.str(), 1, 0, true));
+      fixture.own.take(fixture.activity_report("other", id.str(), 1, 0, true));
     }
   }
   wire::PlaceRoomT room;
@@ -522,7 +522,7 @@
 }
 
 TEST_CASE("calls that wait are passed on to a zone that has room") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   fixture.ask(1, 100ms);
   wire::PlaceRoomT room;
   room.pool = kPool;
@@ -537,7 +537,7 @@
 
 TEST_CASE("a gateway asks again for a call that waits, and goes to the next coordinator when the first dies") {
   gateway_fixture fixture;
-  fixture.fleet.say(fixture.self().id, wire::MemberState::Alive);
+  fixture.fleet.set_member_state(fixture.self().id, wire::MemberState::Alive);
   forwarding::place_query query = fixture.query();
   query.first = BackendId("e1");
   query.affinity_key = "shared";
@@ -575,15 +575,15 @@
   CHECK_FALSE(first->keeps_start);
   fixture.fleet.environment.world.run_for(200ms);
   // All slots are taken by calls of other nodes: the cached prefix is worth a short queue.
-  fixture.own.take(fixture.word("asker", first->engine.str(), 0, 0));
-  fixture.own.take(fixture.word("other", first->engine.str(), kSlots, 0));
+  fixture.own.take(fixture.activity_report("asker", first->engine.str(), 0, 0));
+  fixture.own.take(fixture.activity_report("other", first->engine.str(), kSlots, 0));
   query.holding = 300ms;
   const auto queued = fixture.own.choose(caller{"asker"}, kOwnDomain, query, true).place;
   REQUIRE(queued);
   CHECK(queued->engine == first->engine);
   CHECK(queued->keeps_start);
   // It is not worth a long queue.
-  fixture.own.take(fixture.word("other", first->engine.str(), kSlots + 3, 0));
+  fixture.own.take(fixture.activity_report("other", first->engine.str(), kSlots + 3, 0));
   const auto elsewhere = fixture.own.choose(caller{"asker"}, kOwnDomain, query, true).place;
   REQUIRE(elsewhere);
   CHECK(elsewhere->engine != first->engine);
--- a/tests/placement/duties_test.cpp
+++ b/tests/placement/duties_test.cpp
@@ -51,7 +51,7 @@
   fleet_members fleet(250);
   const std::string first = fleet.who.coordinators_of("engines p z1", "z1").front()->id;
   const std::string second = fleet.who.coordinators_of("engines p z1", "z1").at(1)->id;
-  fleet.say(first, wire::MemberState::Suspect);
+  fleet.set_member_state(first, wire::MemberState::Suspect);
   CHECK(fleet.who.coordinators_of("engines p z1", "z1").front()->id == second);
 }
 
--- a/tests/placement/failing_engines_test.cpp
+++ b/tests/placement/failing_engines_test.cpp
@@ -12,29 +12,29 @@
 TEST_CASE("two failures within a second eject an engine, a single one does not") {
   failing_engines failing;
   failing.record(kEngine, call_trouble::broken, 10s);
-  CHECK_FALSE(failing.aside(kEngine, 10s));
+  CHECK_FALSE(failing.is_ejected(kEngine, 10s));
   failing.record(kEngine, call_trouble::broken, 11500ms);
-  CHECK_FALSE(failing.aside(kEngine, 11500ms));
+  CHECK_FALSE(failing.is_ejected(kEngine, 11500ms));
   failing.record(kEngine, call_trouble::broken, 11600ms);
-  CHECK(failing.aside(kEngine, 11600ms));
-  CHECK(failing.aside(kEngine, 13500ms));
-  CHECK_FALSE(failing.aside(kEngine, 13600ms));
+  CHECK(failing.is_ejected(kEngine, 11600ms));
+  CHECK(failing.is_ejected(kEngine, 13500ms));
+  CHECK_FALSE(failing.is_ejected(kEngine, 13600ms));
 }
 
 TEST_CASE("an engine that cannot be reached is ejected at once") {
   failing_engines failing;
   failing.record(kEngine, call_trouble::unreachable, 10s);
-  CHECK(failing.aside(kEngine, 11s));
+  CHECK(failing.is_ejected(kEngine, 11s));
 }
 
 TEST_CASE("an engine that fails again soon after its return is ejected for twice as long, up to 8 s") {
   failing_engines failing;
   Timestamp now = 10s;
   failing.record(kEngine, call_trouble::unreachable, now);
-  for (const Duration aside : {2s, 4s, 8s, 8s}) {
-    CHECK(failing.aside(kEngine, now + aside - 1ms));
-    now += aside;
-    CHECK_FALSE(failing.aside(kEngine, now));
+  for (const Duration ejection : {2s, 4s, 8s, 8s}) {
+    CHECK(failing.is_ejected(kEngine, now + ejection - 1ms));
+    now += ejection;
+    CHECK_FALSE(failing.is_ejected(kEngine, now));
     now += 500ms;
     failing.record(kEngine, call_trouble::broken, now);
   }
@@ -46,7 +46,7 @@
   for (int call = 0; call < 8; ++call) {
     failing.record(kEngine, call_trouble::broken, 10100ms);
   }
-  CHECK_FALSE(failing.aside(kEngine, 12s));
+  CHECK_FALSE(failing.is_ejected(kEngine, 12s));
 }
 
 TEST_CASE("an engine that was healthy for long loses its failure history") {
@@ -55,7 +55,7 @@
   failing.record(kEngine, call_trouble::unreachable, 12500ms);
   failing.forget_old(40s);
   failing.record(kEngine, call_trouble::broken, 40s);
-  CHECK_FALSE(failing.aside(kEngine, 40s));
+  CHECK_FALSE(failing.is_ejected(kEngine, 40s));
 }
 
 TEST_CASE("failures of a small fraction of an engine's calls do not eject it") {
@@ -69,7 +69,7 @@
       engines.record(busy, call_trouble::broken, now);  // 3 of 50 calls fail
     }
   }
-  CHECK_FALSE(engines.aside(busy, now));
+  CHECK_FALSE(engines.is_ejected(busy, now));
   // From now on, every second call fails.
   for (int call = 0; call < 60; ++call) {
     now += 20ms;
@@ -78,5 +78,5 @@
       engines.record(busy, call_trouble::broken, now);
     }
   }
-  CHECK(engines.aside(busy, now));
+  CHECK(engines.is_ejected(busy, now));
 }
--- a/tests/placement/fleet_members.hpp
+++ b/tests/placement/fleet_members.hpp
@@ -38,7 +38,7 @@
     return member;
   }
   /// Delivers an update to node-0 that sets the state of member @p id to @p state.
-  void say(const std::string& id, wire::MemberState state) {
+  void set_member_state(const std::string& id, wire::MemberState state) {
     for (const wire::MemberT* known : members.members()) {
       if (known->id == id) {
         wire::MemberT update = *known;
--- a/tests/placement/slot_choice_test.cpp
+++ b/tests/placement/slot_choice_test.cpp
@@ -28,13 +28,13 @@
   slow.slowness = 4;
   CHECK(choose_slot({slow, engine(5, 0)}, kShort) == 1U);
   engine_view reading = engine(0, 0);
-  reading.reading_left = 100ms;
+  reading.prefill_left = 100ms;
   CHECK(choose_slot({reading, engine(4, 1)}, kShort) == 1U);
 }
 
 TEST_CASE("a cached prefix is worth the time that its prefill takes") {
   engine_view keeps = engine(4, 2);
-  keeps.keeps_start = true;
+  keeps.prefix_cached = true;
   CHECK(choose_slot({engine(0, 0), keeps}, kLong) == 1U);
   CHECK(choose_slot({engine(0, 0), keeps}, kShort) == 0U);
   keeps.live = 6;
@@ -43,7 +43,7 @@
   keeps.live = 7;
   CHECK(choose_slot({engine(0, 0), keeps}, kLong) == 0U);
   keeps.live = 1;
-  keeps.reading_left = 200ms;
+  keeps.prefill_left = 200ms;
   CHECK(choose_slot({engine(0, 0), keeps}, kLong) == 0U);
 }
 
--- a/tests/tenancy/rate_keeper_test.cpp
+++ b/tests/tenancy/rate_keeper_test.cpp
@@ -49,7 +49,7 @@
       grants.emplace_back(now, answer.granted);
       std::uint32_t sum = 0;
       for (const auto& [at, granted] : grants) {
-        sum += now - at <= kWindow + kGrantUseful ? granted : 0;
+        sum += now - at <= kWindow + kGrantLifetime ? granted : 0;
       }
       RC_ASSERT(sum <= keeper.allowed(limit));
     }
--- a/tests/tenancy/rate_limiter_test.cpp
+++ b/tests/tenancy/rate_limiter_test.cpp
@@ -59,7 +59,7 @@
 }
 
 /// @return a tenant whose keeper is the fixture's node, if @p here is set, or another node.
-std::string tenant_kept(bool here) {
+std::string tenant_with_keeper(bool here) {
   for (int number = 0;; ++number) {
     limiter_fixture fixture;
     const std::string name = "t" + std::to_string(number);
@@ -80,7 +80,7 @@
 }
 
 TEST_CASE("the keeper's reply decides, and a refusal passes on its retry time") {
-  const std::string tenant = tenant_kept(false);
+  const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
   CHECK(fixture.let_in + fixture.refused == 0);
@@ -95,7 +95,7 @@
 }
 
 TEST_CASE("grants beyond one request are used without another exchange, for 250 ms from the time they were requested") {
-  const std::string tenant = tenant_kept(false);
+  const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
   fixture.run_for(10ms);
@@ -108,7 +108,7 @@
 }
 
 TEST_CASE("an unresponsive keeper delays a request by 40 ms, and is not asked for the next ones") {
-  const std::string tenant = tenant_kept(false);
+  const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
   fixture.run_for(39ms);
@@ -122,7 +122,7 @@
 }
 
 TEST_CASE("a node that reaches no keeper admits requests up to its last share of the usage, and no more") {
-  const std::string tenant = tenant_kept(false);
+  const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture;
   // Five of the twenty requests of all nodes came from this node, which gives it a quarter of 105.
   for (int request = 0; request < 5; ++request) {
@@ -135,16 +135,16 @@
     fixture.admit(rate(tenant));
     fixture.run_for(45ms);
   }
-  const int own_part = 105 * 6 / 20;
-  // 200 requests in 9 s would exceed the share of 5 windows, so that the share of both windows that they cover is used up.
-  CHECK(fixture.let_in <= 2 * own_part + 6);
-  CHECK(fixture.let_in >= own_part);
+  const int own_share = 105 * 6 / 20;
+  // 200 requests in 9 s exceed the share of 5 windows, so that the share of both windows that they cover is used up.
+  CHECK(fixture.let_in <= 2 * own_share + 6);
+  CHECK(fixture.let_in >= own_share);
   CHECK(fixture.refused > 0);
   CHECK(fixture.retry_after >= 100ms);
 }
 
 TEST_CASE("a node that is not the tenant's keeper in its own view grants nothing") {
-  const std::string tenant = tenant_kept(false);
+  const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture;
   wire::RateRequestT request;
   request.request = 7;
@@ -159,7 +159,7 @@
 }
 
 TEST_CASE("a keeper counts the requests of all nodes that ask") {
-  const std::string tenant = tenant_kept(true);
+  const std::string tenant = tenant_with_keeper(true);
   limiter_fixture fixture;
   unsigned granted = 0;
   for (unsigned request = 0; request < 500; ++request) {
@@ -176,7 +176,7 @@
 }
 
 TEST_CASE("a keeper's reply after the timeout is counted and otherwise ignored") {
-  const std::string tenant = tenant_kept(false);
+  const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
   const std::uint64_t request = fixture.question().request;
@@ -192,7 +192,7 @@
 }
 
 TEST_CASE("a node that has just started retries for a bounded time while the nodes do not know each other") {
-  const std::string tenant = tenant_kept(false);
+  const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture(0s);
   fixture.admit(rate(tenant));
   fixture.answer(0, 0, 0, false);
