--- a/src/placement/coordinator.hpp
+++ b/src/placement/coordinator.hpp
@@ -37,9 +37,7 @@
 /// has no durable state: after a change of coordinator, the callers' next reports rebuild it. Single threaded.
 class coordinator {
  public:
-  /// @param order order in which calls wait for a slot; null: calls wait at an engine instead, to which they are sent
-  /// at
-  ///        once.
+  /// @param order order in which calls wait for a slot; null: calls are sent to an engine at once and wait there.
   coordinator(Environment& environment, Counters& counters, DecisionLog& log, routing::Registry& registry,
               const duties& node_duties, const wire::MemberT& self,
               std::shared_ptr<const policy::call_order> order = nullptr);
@@ -115,10 +113,10 @@
   routing::warm_up_pace warm_up_pace_;
   waiting_calls waiting_;
   bool serving_scheduled_ = false;
-  bool reports_free_slots_ = false;  ///< Whether free slots are reported, which ends when no domain is asked for.
+  bool reports_free_slots_ = false;  ///< Whether the report timer runs: until no domain is asked for.
   failing_engines failing_engines_;
   std::map<engine_domain, free_slot_report> free_slot_reports_;  ///< Free slots that other coordinators reported.
-  std::map<engine_domain, Timestamp> last_asked_;  ///< When callers last asked this node for engines of a domain.
+  std::map<engine_domain, Timestamp> last_asked_;                ///< Latest request for engines of a domain.
   Lifetime lifetime_;
 };
 
--- a/src/placement/duties.hpp
+++ b/src/placement/duties.hpp
@@ -60,10 +60,8 @@
   mutable bool divided_ = false;
   mutable candidates managers_;
   mutable candidates all_dispatchers_;
-  mutable std::map<std::string, candidates>
-      dispatchers_;  ///< By zone; all under the empty zone if the fleet is not divided.
-  mutable std::map<std::string, candidates>
-      gateways_;  ///< Candidates for coordinators by zone; all of them answer probes.
+  mutable std::map<std::string, candidates> dispatchers_;  ///< By zone; by "" if the fleet is not divided.
+  mutable std::map<std::string, candidates> gateways_;     ///< By zone: gateways that answer probes.
 };
 
 }  // namespace madderdeck::placement
--- a/src/placement/slot_choice.hpp
+++ b/src/placement/slot_choice.hpp
@@ -20,6 +20,7 @@
   std::uint64_t rank = 0;      ///< Breaks ties between engines; the greatest rank wins.
 
   bool has_free_slot() const { return live + batch < slots; }
+  /// @return whether a slot is free or used by batch work, which yields it to a live call.
   bool has_slot_for_live_call() const { return live < slots; }
 };
 
@@ -34,10 +35,9 @@
 /// @return the expected time until @p engine gives @p call its first token, beyond the time that an idle engine takes.
 Duration expected_wait(const engine_view& engine, const call_view& call);
 
-/// @return the index of the engine with the least expected wait. Engines without a slot are considered only if the
-/// prompt's
-///         prefix is cached there and the queue is short, so that waiting may take less time than prefill elsewhere.
-///         Nothing if all engines are full.
+/// @return the index of the engine with the least expected wait; nothing if all engines are full. An engine without a
+///         slot counts as full unless the prompt's prefix is cached there and its queue is short: then waiting may take
+///         less time than prefill elsewhere.
 std::optional<std::size_t> choose_slot(const std::vector<engine_view>& engines, const call_view& call);
 
 }  // namespace madderdeck::placement
--- a/src/tenancy/authentication.hpp
+++ b/src/tenancy/authentication.hpp
@@ -11,8 +11,8 @@
 
 /// How long a node trusts the keys that it knows when it gets no updates from the configuration's source.
 struct key_trust {
-  /// Age up to which the configuration counts as current; an older one may lack the withdrawal of a key. Zero: no
-  /// limit.
+  /// Age up to which the configuration counts as current; an older one may lack the revocation of a key. Zero:
+  /// no limit.
   Duration useful_for{};
   /// Whether requests with a key are rejected when the configuration is older than that; otherwise its keys stay valid.
   bool fail_closed = false;
@@ -39,7 +39,7 @@
 };
 
 /// Authenticates a request. A fleet without tenants admits every caller. A key must be known on public routes, too, so
-/// that a withdrawn key is rejected everywhere.
+/// that a revoked key is rejected everywhere.
 /// @param age time since the directory was last known to be the latest.
 identity authenticate(const tenant_directory& directory, const credentials& shown, const key_trust& trust,
                       Duration age);
--- a/src/tenancy/rate_keeper.hpp
+++ b/src/tenancy/rate_keeper.hpp
@@ -1,6 +1,5 @@
 #pragma once
-/// @file Enforces tenants' rate limits over all nodes: the decisions of a tenant's keeper, the node that counts its
-/// requests.
+/// @file The decisions of a tenant's keeper, the node that counts the tenant's requests over all nodes.
 
 #include <cstdint>
 #include <functional>
@@ -51,8 +50,7 @@
   /// @param window time over which the limit is applied: rate times window, plus the burst, are allowed within it.
   explicit rate_keeper(Duration window) : window_(window) {}
 
-  /// @param nodes number of nodes that may ask, at least 1; a single grant is limited to a node's share of what is
-  /// free.
+  /// @param nodes number of nodes that may ask, at least 1; limits a single grant to a node's share of what is free.
   rate_answer decide(const rate_question& question, const reachable& is_reachable, std::size_t nodes, Timestamp now);
   /// Removes tenants and nodes without recent usage.
   void forget_idle(Timestamp now);
--- a/src/tenancy/tenant_directory.hpp
+++ b/src/tenancy/tenant_directory.hpp
@@ -43,9 +43,8 @@
 
   /// Checks @p tenants and indexes their keys.
   /// @return ErrorKind::invalid_argument for a tenant without a name, a duplicate name, a key that is empty, longer
-  /// than
-  ///         kMaxKeyBytes or used by two tenants, and a rate or burst that is negative or not finite. The error detail
-  ///         shows a key by its fingerprint only.
+  ///         than kMaxKeyBytes or used by two tenants, and a rate or burst that is negative or not finite. The error
+  ///         detail shows a key by its fingerprint only.
   static Result<tenant_directory> build(std::vector<tenant> tenants);
 
   /// @return the tenant that @p key belongs to; null if there is none.
--- a/tests/placement/coordinator_test.cpp
+++ b/tests/placement/coordinator_test.cpp
@@ -127,8 +127,8 @@
 TEST_CASE("a zone that is full names another one with room, while its word is fresh") {
   gateway_fixture fixture;
   fixture.fill_zone("z0");
-  CHECK(fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), false)
-            .place);  // no other zone has reported free slots
+  // No other zone has reported free slots.
+  CHECK(fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), false).place);
   wire::PlaceRoomT room;
   room.pool = kPool;
   room.zone = "z3";
@@ -226,8 +226,7 @@
   fixture.registry.find(BackendId("e1"))->online_in_flight = 3;
   reporter.changed(BackendId("e1"));
   fixture.fleet.environment.world.run_for(35ms);
-  CHECK(fixture.sent(wire::Message::EngineActivity) ==
-        0);  // the start of a call is reported late: its coordinator assigned the engine
+  CHECK(fixture.sent(wire::Message::EngineActivity) == 0);  // the start of a call is reported after 40 ms
   fixture.registry.find(BackendId("e1"))->online_in_flight = 2;
   reporter.changed(BackendId("e1"));
   fixture.fleet.environment.world.run_for(4ms);
--- a/tests/placement/failing_engines_test.cpp
+++ b/tests/placement/failing_engines_test.cpp
@@ -66,7 +66,7 @@
     now += 20ms;  // 50 calls per second
     engines.count_call(busy, now);
     if (call % 15 == 0) {
-      engines.record(busy, call_trouble::broken, now);  // 3 of 50 calls fail
+      engines.record(busy, call_trouble::broken, now);  // about 3 of 50 calls fail
     }
   }
   CHECK_FALSE(engines.is_ejected(busy, now));
