--- a/src/placement/coordinator.cpp
+++ b/src/placement/coordinator.cpp
@@ -59,8 +59,8 @@
 void coordinator::maintain() {
   environment_.after(kMaintenanceInterval, lifetime_.guard([this] { maintain(); }));
   calls_.forget_silent(environment_.now());
-  failing_engines_.forget_old(environment_.now());
-  cached_prefixes_.forget_old(environment_.now());
+  failing_engines_.remove_expired(environment_.now());
+  cached_prefixes_.remove_expired(environment_.now());
   warm_up_pace_.forget_old(environment_.now());
   registry_.forget_latencies(kLatencyLifetime);
 }
@@ -303,7 +303,7 @@
 
 void coordinator::serve_waiting() {
   calls_.forget_unfulfilled(environment_.now());
-  const std::size_t dropped = waiting_.drop_expired(environment_.now());
+  const std::size_t dropped = waiting_.remove_expired(environment_.now());
   counters_["placements_held_dropped_total"] += static_cast<CounterValue>(dropped);
   for (const engine_domain& domain : waiting_.domains()) {
     while (waiting_.size(domain) > 0 && serve_first(domain)) {
--- a/src/placement/failing_engines.cpp
+++ b/src/placement/failing_engines.cpp
@@ -50,7 +50,7 @@
   return known != engines_.end() && now < known->second.ejected_until;
 }
 
-void failing_engines::forget_old(Timestamp now) {
+void failing_engines::remove_expired(Timestamp now) {
   std::erase_if(calls_, [now](const auto& entry) { return entry.second.per_second(now) < kIdleCallRate; });
   std::erase_if(engines_, [now](const auto& entry) { return now - entry.second.failed_at > kHistoryLifetime; });
 }
--- a/src/placement/failing_engines.hpp
+++ b/src/placement/failing_engines.hpp
@@ -28,7 +28,7 @@
   /// @return whether @p engine is ejected at @p now: it should get no calls while other engines are available.
   bool is_ejected(const BackendId& engine, Timestamp now) const;
   /// Removes engines whose last failure is long ago.
-  void forget_old(Timestamp now);
+  void remove_expired(Timestamp now);
 
  private:
   struct failure_history {
--- a/src/placement/kept_starts.cpp
+++ b/src/placement/kept_starts.cpp
@@ -26,13 +26,13 @@
   return used != engines->second.end() && now - used->second < kPrefixLifetime;
 }
 
-void prefix_cache_tracker::forget(const BackendId& engine) {
+void prefix_cache_tracker::remove(const BackendId& engine) {
   for (auto& [key, engines] : last_used_) {
     engines.erase(engine);
   }
 }
 
-void prefix_cache_tracker::forget_old(Timestamp now) {
+void prefix_cache_tracker::remove_expired(Timestamp now) {
   for (auto entry = last_used_.begin(); entry != last_used_.end();) {
     std::erase_if(entry->second, [now](const auto& used) { return now - used.second >= kPrefixLifetime; });
     entry = entry->second.empty() ? last_used_.erase(entry) : std::next(entry);
--- a/src/placement/kept_starts.hpp
+++ b/src/placement/kept_starts.hpp
@@ -17,8 +17,8 @@
   void record_use(const std::string& key, const BackendId& engine, Timestamp now);
   bool likely_cached(const std::string& key, const BackendId& engine, Timestamp now) const;
   /// Removes all prefixes of an engine that has ended or restarted.
-  void forget(const BackendId& engine);
-  void forget_old(Timestamp now);
+  void remove(const BackendId& engine);
+  void remove_expired(Timestamp now);
 
  private:
   std::map<std::string, std::map<BackendId, Timestamp>> last_used_;
--- a/src/placement/waiting_calls.cpp
+++ b/src/placement/waiting_calls.cpp
@@ -5,7 +5,7 @@
 namespace madderdeck::placement {
 namespace {
 
-/// A call is dropped after this time without a request for it; three consecutive repeats may get lost.
+/// A call is removed after this time without a request for it; three consecutive repeats may get lost.
 constexpr Duration kRequestLifetime = 4 * waiting_calls::kRepeatInterval;
 
 const std::vector<waiting_call> kNoCalls;
@@ -86,7 +86,7 @@
   return call;
 }
 
-std::size_t waiting_calls::drop_expired(Timestamp now) {
+std::size_t waiting_calls::remove_expired(Timestamp now) {
   const std::size_t before = count_;
   for (auto entry = calls_.begin(); entry != calls_.end();) {
     count_ -= std::erase_if(entry->second, [now](const waiting_call& call) {
--- a/src/placement/waiting_calls.hpp
+++ b/src/placement/waiting_calls.hpp
@@ -59,9 +59,9 @@
   const std::vector<waiting_call>& in_order(const engine_domain& domain, Timestamp now);
   /// Removes and returns the call at @p position of in_order().
   waiting_call take(const engine_domain& domain, std::size_t position);
-  /// Drops calls whose gateway no longer repeats the request, or whose caller has stopped waiting.
-  /// @return how many calls were dropped.
-  std::size_t drop_expired(Timestamp now);
+  /// Removes calls whose gateway no longer repeats the request, or whose caller has stopped waiting.
+  /// @return how many calls were removed.
+  std::size_t remove_expired(Timestamp now);
 
  private:
   const policy::call_order& order_;
--- a/src/tenancy/rate_keeper.cpp
+++ b/src/tenancy/rate_keeper.cpp
@@ -51,21 +51,21 @@
   return total;
 }
 
-rate_answer rate_keeper::decide(const rate_question& question, const reachable& is_reachable, std::size_t nodes,
+rate_answer rate_keeper::decide(const rate_query& query, const reachable& is_reachable, std::size_t nodes,
                                 Timestamp now) {
-  account& tenant_account = accounts_.try_emplace(question.rate.tenant, span()).first->second;
-  if (question.rate.version >= tenant_account.rate.version) {
-    tenant_account.rate = question.rate;
+  account& tenant_account = accounts_.try_emplace(query.rate.tenant, span()).first->second;
+  if (query.rate.version >= tenant_account.rate.version) {
+    tenant_account.rate = query.rate;
   }
-  node_usage& asker = tenant_account.usage_by_node.try_emplace(question.node, span()).first->second;
-  asker.reported = question.recent;
+  node_usage& asker = tenant_account.usage_by_node.try_emplace(query.node, span()).first->second;
+  asker.reported = query.recent;
   asker.granted_since = 0;
   asker.reported_at = now;
   rate_answer answer;
   answer.used = total_usage(tenant_account, is_reachable, now);
   answer.allowed = allowed(tenant_account.rate.limit);
   if (!tenant_account.rate.limit.limited()) {
-    answer.granted = question.wanted;
+    answer.granted = query.wanted;
     return answer;
   }
   const double free = answer.allowed - answer.used;
@@ -75,14 +75,14 @@
     return answer;
   }
   const double at_once = std::max(1.0, kMaxGrantFraction * free / static_cast<double>(std::max<std::size_t>(1, nodes)));
-  answer.granted = static_cast<std::uint32_t>(std::min<double>(question.wanted, std::floor(at_once)));
+  answer.granted = static_cast<std::uint32_t>(std::min<double>(query.wanted, std::floor(at_once)));
   asker.granted.add(now, answer.granted);
   asker.granted_since += answer.granted;
   tenant_account.all_grants.add(now, answer.granted);
   return answer;
 }
 
-void rate_keeper::forget_idle(Timestamp now) {
+void rate_keeper::remove_idle(Timestamp now) {
   for (auto entry = accounts_.begin(); entry != accounts_.end();) {
     std::erase_if(entry->second.usage_by_node, [&](const auto& usage) {
       const bool reserved =
--- a/src/tenancy/rate_keeper.hpp
+++ b/src/tenancy/rate_keeper.hpp
@@ -21,7 +21,7 @@
 };
 
 /// A node's request to a keeper for permission to admit requests of a tenant.
-struct rate_question {
+struct rate_query {
   std::string node;
   stated_rate rate;
   std::uint32_t wanted = 1;
@@ -51,9 +51,9 @@
   explicit rate_keeper(Duration window) : window_(window) {}
 
   /// @param nodes number of nodes that may ask, at least 1; limits a single grant to a node's share of what is free.
-  rate_answer decide(const rate_question& question, const reachable& is_reachable, std::size_t nodes, Timestamp now);
+  rate_answer decide(const rate_query& query, const reachable& is_reachable, std::size_t nodes, Timestamp now);
   /// Removes tenants and nodes without recent usage.
-  void forget_idle(Timestamp now);
+  void remove_idle(Timestamp now);
   /// @return what @p limit allows within the window in which grants are counted.
   double allowed(const rate_limit& limit) const;
 
--- a/src/tenancy/rate_limiter.cpp
+++ b/src/tenancy/rate_limiter.cpp
@@ -46,7 +46,7 @@
 void rate_limiter::maintain() {
   environment_.after(kMaintenanceInterval, lifetime_.guard([this] { maintain(); }));
   const Timestamp now = environment_.now();
-  own_keeper_.forget_idle(now);
+  own_keeper_.remove_idle(now);
   std::erase_if(avoided_until_, [now](const auto& entry) { return entry.second <= now; });
   std::erase_if(accounts_, [now](const auto& entry) { return entry.second.used.sum(now) == 0; });
 }
@@ -92,7 +92,7 @@
   const Timestamp now = environment_.now();
   if (tenant_account.unused_grants > 0 && now < tenant_account.grants_expire_at) {
     --tenant_account.unused_grants;
-    let_in_now(tenant_account, done);
+    admit_now(tenant_account, done);
     return;
   }
   const wire::MemberT* keeper = keeper_of(rate.tenant);
@@ -102,25 +102,24 @@
     on_undecided(request, rate, tries, done);
   } else if (keeper->id == members_.self().id) {
     const auto answer = own_keeper_.decide(
-        question_for(rate), [this](const std::string& node) { return is_reachable(node); }, gateways_known_, now);
+        query_for(rate), [this](const std::string& node) { return is_reachable(node); }, gateways_known_, now);
     take_answer(request, rate, answer, now, done);
   } else {
     ask(*keeper, request, rate, tries, std::move(done));
   }
 }
 
-rate_question rate_limiter::question_for(const stated_rate& rate) {
+rate_query rate_limiter::query_for(const stated_rate& rate) {
   account& tenant_account = account_of(rate.tenant);
   const Timestamp now = environment_.now();
-  rate_question question;
-  question.node = members_.self().id;
-  question.rate = rate;
-  question.recent = tenant_account.used.sum(now);
+  rate_query query;
+  query.node = members_.self().id;
+  query.rate = rate;
+  query.recent = tenant_account.used.sum(now);
   // The number of requests expected while the grant is valid, by the average over the window.
   const double valid_fraction = std::chrono::duration<double>(kGrantLifetime) / std::chrono::duration<double>(window_);
-  question.wanted =
-      std::clamp<std::uint32_t>(static_cast<std::uint32_t>(question.recent * valid_fraction), 1, kMaxWanted);
-  return question;
+  query.wanted = std::clamp<std::uint32_t>(static_cast<std::uint32_t>(query.recent * valid_fraction), 1, kMaxWanted);
+  return query;
 }
 
 void rate_limiter::on_undecided(const std::string& request, const stated_rate& rate, unsigned tries,
@@ -137,16 +136,16 @@
 
 void rate_limiter::ask(const wire::MemberT& keeper, const std::string& request, const stated_rate& rate, unsigned tries,
                        decided done) {
-  const rate_question question = question_for(rate);
+  const rate_query query = query_for(rate);
   wire::RateRequestT message;
   message.request = ++next_request_;
-  message.node = question.node;
+  message.node = query.node;
   message.tenant = rate.tenant;
   message.version = rate.version;
   message.per_second = rate.limit.per_second;
   message.burst = rate.limit.burst;
-  message.wanted = question.wanted;
-  message.recent = question.recent;
+  message.wanted = query.wanted;
+  message.recent = query.recent;
   const PeerAddress address(keeper.peer_address);
   pending_.emplace(message.request, pending{request, rate, std::move(done), address, environment_.now(), tries});
   counters_["tenant_rate_questions_total"]++;
@@ -169,13 +168,13 @@
   // While nodes disagree on the tenant's keeper, a node grants only if it is the keeper in its own view.
   reply.keeper = keeper != nullptr && keeper->id == members_.self().id;
   if (reply.keeper) {
-    rate_question question;
-    question.node = message.node;
-    question.rate = {message.tenant, message.version, {message.per_second, message.burst}};
-    question.wanted = message.wanted;
-    question.recent = message.recent;
+    rate_query query;
+    query.node = message.node;
+    query.rate = {message.tenant, message.version, {message.per_second, message.burst}};
+    query.wanted = message.wanted;
+    query.recent = message.recent;
     const auto answer = own_keeper_.decide(
-        question, [this, &message](const std::string& node) { return node == message.node || is_reachable(node); },
+        query, [this, &message](const std::string& node) { return node == message.node || is_reachable(node); },
         gateways_known_, environment_.now());
     reply.granted = answer.granted;
     reply.used = answer.used;
@@ -214,7 +213,7 @@
   const bool grants_valid = now < tenant_account.grants_expire_at;
   tenant_account.unused_grants = (grants_valid ? tenant_account.unused_grants : 0) + answer.granted - 1;
   tenant_account.grants_expire_at = asked_at + kGrantLifetime;
-  let_in_now(tenant_account, done);
+  admit_now(tenant_account, done);
 }
 
 /// Admits one request per window even if the node's share is less: limits have some slack, and a tenant that sends few
@@ -229,7 +228,7 @@
   const double own = std::max(1.0, allowed * share);
   counters_["tenant_rate_decided_by_part_total"]++;
   if (tenant_account.used.sum(environment_.now()) + 1 <= own) {
-    let_in_now(tenant_account, done);
+    admit_now(tenant_account, done);
     return;
   }
   rate_answer known;
@@ -239,7 +238,7 @@
   refuse(request, rate, known, "own part", done);
 }
 
-void rate_limiter::let_in_now(account& tenant_account, const decided& done) {
+void rate_limiter::admit_now(account& tenant_account, const decided& done) {
   tenant_account.used.add(environment_.now(), 1);
   counters_["tenant_rate_let_in_total"]++;
   done({true, {}});
--- a/src/tenancy/rate_limiter.hpp
+++ b/src/tenancy/rate_limiter.hpp
@@ -73,13 +73,13 @@
   void refresh_view() const;
   /// @return whether this node knows no other gateway yet although seed addresses are configured.
   bool knows_no_peer() const;
-  rate_question question_for(const stated_rate& rate);
+  rate_query query_for(const stated_rate& rate);
   void ask(const wire::MemberT& keeper, const std::string& request, const stated_rate& rate, unsigned tries,
            decided done);
   void take_answer(const std::string& request, const stated_rate& rate, const rate_answer& answer, Timestamp asked_at,
                    const decided& done);
   void decide_by_own_share(const std::string& request, const stated_rate& rate, const decided& done);
-  void let_in_now(account& tenant_account, const decided& done);
+  void admit_now(account& tenant_account, const decided& done);
   void refuse(const std::string& request, const stated_rate& rate, const rate_answer& known, std::string_view by,
               const decided& done);
   void log_decision_source(account& tenant_account, const std::string& tenant, bool by_own_share);
--- a/src/tenancy/usage_window.cpp
+++ b/src/tenancy/usage_window.cpp
@@ -11,7 +11,7 @@
 
 Timestamp usage_window::expires_at(const step& one) const { return kStep * (one.number + 1) + span_; }
 
-void usage_window::forget_old(Timestamp now) {
+void usage_window::remove_expired(Timestamp now) {
   while (!steps_.empty() && expires_at(steps_.front()) <= now) {
     sum_ -= steps_.front().count;
     steps_.pop_front();
@@ -19,7 +19,7 @@
 }
 
 void usage_window::add(Timestamp now, std::uint32_t count) {
-  forget_old(now);
+  remove_expired(now);
   const std::int64_t number = now / kStep;
   if (steps_.empty() || steps_.back().number < number) {
     steps_.push_back({number, 0});
--- a/src/tenancy/usage_window.hpp
+++ b/src/tenancy/usage_window.hpp
@@ -26,7 +26,7 @@
     std::uint32_t count = 0;
   };
 
-  void forget_old(Timestamp now);
+  void remove_expired(Timestamp now);
   Timestamp expires_at(const step& one) const;
 
   const Duration span_;
--- a/tests/placement/failing_engines_test.cpp
+++ b/tests/placement/failing_engines_test.cpp
@@ -53,7 +53,7 @@
   failing_engines failing;
   failing.record(kEngine, call_trouble::unreachable, 10s);
   failing.record(kEngine, call_trouble::unreachable, 12500ms);
-  failing.forget_old(40s);
+  failing.remove_expired(40s);
   failing.record(kEngine, call_trouble::broken, 40s);
   CHECK_FALSE(failing.is_ejected(kEngine, 40s));
 }
--- a/tests/tenancy/rate_keeper_test.cpp
+++ b/tests/tenancy/rate_keeper_test.cpp
@@ -11,8 +11,8 @@
 
 constexpr Duration kWindow = 5s;
 
-rate_question question(const std::string& node, rate_limit limit, std::uint32_t recent = 0, std::uint32_t wanted = 1,
-                       std::uint64_t version = 1) {
+rate_query query(const std::string& node, rate_limit limit, std::uint32_t recent = 0, std::uint32_t wanted = 1,
+                 std::uint64_t version = 1) {
   return {node, {"tenant", version, limit}, wanted, recent};
 }
 
@@ -24,7 +24,7 @@
   unsigned let_in = 0;
   for (Timestamp now = from; now < from + time; now += 1ms) {
     const std::string node = "n" + std::to_string((now / 1ms) % 50);
-    let_in += keeper.decide(question(node, limit), all_reachable, 50, now).granted;
+    let_in += keeper.decide(query(node, limit), all_reachable, 50, now).granted;
   }
   return let_in;
 }
@@ -43,7 +43,7 @@
       now += std::chrono::milliseconds(*rc::gen::inRange(0, 60));
       const std::string node = "n" + std::to_string(*rc::gen::inRange(0, 8));
       const auto wanted = static_cast<std::uint32_t>(*rc::gen::inRange(1, 12));
-      const rate_answer answer = keeper.decide(question(node, limit, 0, wanted), all_reachable, 8, now);
+      const rate_answer answer = keeper.decide(query(node, limit, 0, wanted), all_reachable, 8, now);
       RC_ASSERT(answer.granted <= wanted);
       RC_ASSERT((answer.granted > 0) == (answer.retry_after.count() == 0));
       grants.emplace_back(now, answer.granted);
@@ -68,7 +68,7 @@
   rate_keeper keeper(kWindow);
   for (int request = 0; request < 1'000; ++request) {
     const Timestamp now = 10s + request * 55ms;  // 18 per second of 20
-    REQUIRE(keeper.decide(question("n" + std::to_string(request % 50), {20, 0}), all_reachable, 50, now).granted == 1);
+    REQUIRE(keeper.decide(query("n" + std::to_string(request % 50), {20, 0}), all_reachable, 50, now).granted == 1);
   }
 }
 
@@ -76,22 +76,22 @@
   rate_keeper keeper(kWindow);
   const rate_limit limit{2, 0};
   Timestamp now = 10s;
-  while (keeper.decide(question("a", limit), all_reachable, 2, now).granted > 0) {
+  while (keeper.decide(query("a", limit), all_reachable, 2, now).granted > 0) {
     now += 10ms;
   }
-  const rate_answer refused = keeper.decide(question("a", limit), all_reachable, 2, now);
+  const rate_answer refused = keeper.decide(query("a", limit), all_reachable, 2, now);
   REQUIRE(refused.granted == 0);
   CHECK(refused.retry_after <= kWindow + 300ms);
-  CHECK(keeper.decide(question("a", limit), all_reachable, 2, now + refused.retry_after + 1ms).granted == 1);
+  CHECK(keeper.decide(query("a", limit), all_reachable, 2, now + refused.retry_after + 1ms).granted == 1);
 }
 
 TEST_CASE("a keeper that takes over learns from the first questions what was granted before") {
   rate_keeper keeper(kWindow);
   const rate_limit limit{20, 0};  // 105 requests within the window plus the lifetime of a grant
   const Timestamp now = 10s;
-  CHECK(keeper.decide(question("a", limit, 60), all_reachable, 2, now).granted == 1);
-  CHECK(keeper.decide(question("b", limit, 44), all_reachable, 2, now).granted == 0);
-  CHECK(keeper.decide(question("b", limit, 43), all_reachable, 2, now).granted == 1);
+  CHECK(keeper.decide(query("a", limit, 60), all_reachable, 2, now).granted == 1);
+  CHECK(keeper.decide(query("b", limit, 44), all_reachable, 2, now).granted == 0);
+  CHECK(keeper.decide(query("b", limit, 43), all_reachable, 2, now).granted == 1);
 }
 
 TEST_CASE("what a node that is cut off used stays reserved, scaled up to the limit") {
@@ -99,32 +99,32 @@
   const rate_limit limit{20, 0};
   const Timestamp now = 10s;
   for (int request = 0; request < 20; ++request) {
-    keeper.decide(question("a", limit), all_reachable, 2, now);
-    keeper.decide(question("b", limit), all_reachable, 2, now);
+    keeper.decide(query("a", limit), all_reachable, 2, now);
+    keeper.decide(query("b", limit), all_reachable, 2, now);
   }
   const auto without_b = [](const std::string& node) { return node != "b"; };
   unsigned granted = 0;
   for (int request = 0; request < 200; ++request) {
-    granted += keeper.decide(question("a", limit, 20 + granted), without_b, 2, now + 100ms).granted;
+    granted += keeper.decide(query("a", limit, 20 + granted), without_b, 2, now + 100ms).granted;
   }
   // Node a has used half of 105 by now. The other half stays reserved for b, even after b's grants have left the
   // window.
   CHECK(granted >= 31);
   CHECK(granted <= 33);
-  const rate_answer later = keeper.decide(question("a", limit), without_b, 2, now + 8s);
+  const rate_answer later = keeper.decide(query("a", limit), without_b, 2, now + 8s);
   CHECK(later.used >= 50);
   // The reservation of b ends after a long time, when its callers have turned to other nodes.
-  keeper.forget_idle(now + 40s);
-  CHECK(keeper.decide(question("a", limit), without_b, 2, now + 40s).used <= 1);
+  keeper.remove_idle(now + 40s);
+  CHECK(keeper.decide(query("a", limit), without_b, 2, now + 40s).used <= 1);
 }
 
 TEST_CASE("the limit of the latest version counts, whoever asks") {
   rate_keeper keeper(kWindow);
   const Timestamp now = 10s;
   for (int request = 0; request < 50; ++request) {
-    keeper.decide(question("a", {100, 0}, 0, 1, 1), all_reachable, 2, now);
+    keeper.decide(query("a", {100, 0}, 0, 1, 1), all_reachable, 2, now);
   }
-  CHECK(keeper.decide(question("b", {2, 0}, 0, 1, 2), all_reachable, 2, now).granted == 0);
-  CHECK(keeper.decide(question("a", {100, 0}, 0, 1, 1), all_reachable, 2, now).granted == 0);
-  CHECK(keeper.decide(question("a", {100, 0}, 0, 1, 3), all_reachable, 2, now).granted == 1);
+  CHECK(keeper.decide(query("b", {2, 0}, 0, 1, 2), all_reachable, 2, now).granted == 0);
+  CHECK(keeper.decide(query("a", {100, 0}, 0, 1, 1), all_reachable, 2, now).granted == 0);
+  CHECK(keeper.decide(query("a", {100, 0}, 0, 1, 3), all_reachable, 2, now).granted == 1);
 }
--- a/tests/tenancy/rate_limiter_test.cpp
+++ b/tests/tenancy/rate_limiter_test.cpp
@@ -36,7 +36,7 @@
   }
   void run_for(Duration time) { fleet.environment.world.run_for(time); }
   /// @return the last request to a keeper.
-  const wire::RateRequestT& question() {
+  const wire::RateRequestT& query() {
     REQUIRE_FALSE(fleet.environment.sent.empty());
     const wire::RateRequestT* found = fleet.environment.sent.back().body.AsRateRequest();
     REQUIRE(found != nullptr);
@@ -44,7 +44,7 @@
   }
   void answer(std::uint32_t granted, double used, double allowed, bool keeper = true) {
     wire::RateReplyT reply;
-    reply.request = question().request;
+    reply.request = query().request;
     reply.keeper = keeper;
     reply.granted = granted;
     reply.used = used;
@@ -84,11 +84,11 @@
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
   CHECK(fixture.let_in + fixture.refused == 0);
-  CHECK(fixture.question().tenant == tenant);
+  CHECK(fixture.query().tenant == tenant);
   fixture.answer(1, 3, 105);
   CHECK(fixture.let_in == 1);
   fixture.admit(rate(tenant));
-  CHECK(fixture.question().recent == 1);
+  CHECK(fixture.query().recent == 1);
   fixture.answer(0, 105, 105);
   CHECK(fixture.refused == 1);
   CHECK(fixture.retry_after == 700ms);
@@ -163,13 +163,13 @@
   limiter_fixture fixture;
   unsigned granted = 0;
   for (unsigned request = 0; request < 500; ++request) {
-    wire::RateRequestT question;
-    question.request = request;
-    question.node = "node-" + std::to_string(1 + request % (kNodes - 1));
-    question.tenant = tenant;
-    question.per_second = 20;
-    question.wanted = 1;
-    fixture.limiter.handle(PeerAddress(question.node + ":1"), question);
+    wire::RateRequestT query;
+    query.request = request;
+    query.node = "node-" + std::to_string(1 + request % (kNodes - 1));
+    query.tenant = tenant;
+    query.per_second = 20;
+    query.wanted = 1;
+    fixture.limiter.handle(PeerAddress(query.node + ":1"), query);
     granted += fixture.fleet.environment.sent.back().body.AsRateReply()->granted;
   }
   CHECK(granted == 105);
@@ -179,7 +179,7 @@
   const std::string tenant = tenant_with_keeper(false);
   limiter_fixture fixture;
   fixture.admit(rate(tenant));
-  const std::uint64_t request = fixture.question().request;
+  const std::uint64_t request = fixture.query().request;
   fixture.run_for(50ms);
   CHECK(fixture.let_in == 1);
   wire::RateReplyT reply;
