--- a/tests/placement/coordinator_test.cpp
+++ b/tests/placement/coordinator_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kSlots = 4;
 const std::string kPool = "p";
 
-/// A gateway of a large fleet with @p engines engines, in turn in the five zones.
+/// A gateway of a large fleet, with @p engines engines that are distributed evenly over the five zones.
 struct gateway_fixture {
   explicit gateway_fixture(unsigned engines = 30) : fleet(60) {
     registry.set_subset_size(1000);
@@ -40,8 +40,8 @@
     query.pool = kPool;
     return query;
   }
-  wire::EngineActivityT word(const std::string& node, const std::string& engine, std::uint32_t live,
-                             std::uint32_t batch, bool silent = false) const {
+  wire::EngineActivityT activity_report(const std::string& node, const std::string& engine, std::uint32_t live,
+                                        std::uint32_t batch, bool silent = false) const {
     wire::EngineActivityT message;
     message.node = node;
     auto entry = std::make_unique<wire::EngineCallsT>();
@@ -55,12 +55,12 @@
   void fill_zone(const std::string& zone) {
     for (const auto& [id, backend] : registry.backends()) {
       if (backend.machine.zone == zone) {
-        own.take(word("other", id.str(), kSlots, 0));
+        own.take(activity_report("other", id.str(), kSlots, 0));
       }
     }
   }
   std::size_t sent(wire::Message type) const { return fleet.environment.sent_of(type); }
-  /// @return whom the last question went to.
+  /// @return the receiver of the last request for an engine.
   PeerAddress last_asked() const {
     for (auto message = fleet.environment.sent.rbegin(); message != fleet.environment.sent.rend(); ++message) {
       if (message->body.type == wire::Message::PlaceRequest) {
@@ -104,7 +104,7 @@
       }
       live[id] = *rc::gen::inRange<std::uint32_t>(0, kSlots + 1);
       free += kSlots - live[id];
-      fixture.own.take(fixture.word("other", id.str(), live[id], 0));
+      fixture.own.take(fixture.activity_report("other", id.str(), live[id], 0));
     }
     for (std::uint32_t call = 0; call < free; ++call) {
       const placement_choice choice = fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), true);
@@ -117,7 +117,7 @@
 TEST_CASE("batch work yields where no slot is free, and the answer says so") {
   gateway_fixture fixture;
   for (const auto& [id, backend] : fixture.registry.backends()) {
-    fixture.own.take(fixture.word("other", id.str(), 1, kSlots - 1));
+    fixture.own.take(fixture.activity_report("other", id.str(), 1, kSlots - 1));
   }
   const placement_choice choice = fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), true);
   REQUIRE(choice.place);
@@ -127,8 +127,8 @@
 TEST_CASE("a zone that is full names another one with room, while its word is fresh") {
   gateway_fixture fixture;
   fixture.fill_zone("z0");
-  CHECK(
-      fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), false).place);  // no word of others: here, then
+  // No other zone has reported free slots.
+  CHECK(fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), false).place);
   wire::PlaceRoomT room;
   room.pool = kPool;
   room.zone = "z3";
@@ -144,8 +144,8 @@
 
 TEST_CASE("an engine that several nodes hear nothing of gets no calls while others speak") {
   gateway_fixture fixture;
-  fixture.own.take(fixture.word("a", "e0", 1, 0, true));
-  fixture.own.take(fixture.word("b", "e0", 1, 0, true));
+  fixture.own.take(fixture.activity_report("a", "e0", 1, 0, true));
+  fixture.own.take(fixture.activity_report("b", "e0", 1, 0, true));
   for (int call = 0; call < 10; ++call) {
     const placement_choice choice = fixture.own.choose(caller{"asker"}, kOwnDomain, fixture.query(), true);
     REQUIRE(choice.place);
@@ -185,8 +185,8 @@
 
 TEST_CASE("a coordinator that does not answer keeps a call for 20 ms, and after two such calls the next one is asked") {
   gateway_fixture fixture;
-  fixture.fleet.say(fixture.self().id, wire::MemberState::Alive);
-  const engine_domain other{kPool, "z1"};  // never this node's own
+  fixture.fleet.set_member_state(fixture.self().id, wire::MemberState::Alive);
+  const engine_domain other{kPool, "z1"};  // this node is never its coordinator
   forwarding::place_query query = fixture.query();
   query.first = BackendId("e1");
   query.affinity_key = "shared";
@@ -226,7 +226,7 @@
   fixture.registry.find(BackendId("e1"))->online_in_flight = 3;
   reporter.changed(BackendId("e1"));
   fixture.fleet.environment.world.run_for(35ms);
-  CHECK(fixture.sent(wire::Message::EngineActivity) == 0);  // a start: its coordinator named the engine
+  CHECK(fixture.sent(wire::Message::EngineActivity) == 0);  // the start of a call is reported after 40 ms
   fixture.registry.find(BackendId("e1"))->online_in_flight = 2;
   reporter.changed(BackendId("e1"));
   fixture.fleet.environment.world.run_for(4ms);
@@ -238,8 +238,9 @@
   CHECK(message.body.AsEngineActivity()->engines.at(0)->live == 2);
 }
 
-// After a loss of power coordinators change. The new one took its engines for empty until each gateway's next word of
-// everything, up to a second later, since the look for such changes ran once, before any engine was known.
+// Guards against a new coordinator that takes its engines for idle until each gateway's next complete report, up to a
+// second later. This happened after a power loss, because the check for changed coordinators ran only once, before any
+// engine was known.
 TEST_CASE("a coordinator that takes over is told of open calls within 100 ms") {
   gateway_fixture fixture;
   call_reporter reporter(fixture.fleet.environment, fixture.fleet.counters, fixture.registry, fixture.client,
@@ -252,7 +253,7 @@
   fixture.fleet.environment.world.run_for(60ms);
   const engine_domain domain = domain_of(fixture.registry, backend, kPool);
   const std::string first = fixture.client.coordinator_for(domain)->id;
-  fixture.fleet.say(first, wire::MemberState::Dead);
+  fixture.fleet.set_member_state(first, wire::MemberState::Dead);
   const PeerAddress next(fixture.client.coordinator_for(domain)->peer_address);
   fixture.fleet.environment.sent.clear();
   fixture.fleet.environment.world.run_for(101ms);
@@ -263,7 +264,8 @@
   CHECK(told->body.AsEngineActivity()->engines.at(0)->live == 1);
 }
 
-// One quiet node of a fleet with 10,000 engines looked at each of them ten times a second.
+// Guards against periodic work for engines without calls: an idle node of a fleet with 10,000 engines checked each of
+// them ten times a second.
 TEST_CASE("a node tells of the engines that it calls, and of no others") {
   gateway_fixture fixture(2'000);
   call_reporter reporter(fixture.fleet.environment, fixture.fleet.counters, fixture.registry, fixture.client,
@@ -281,7 +283,7 @@
     entries += sent.body.type == wire::Message::EngineActivity ? sent.body.AsEngineActivity()->engines.size() : 0;
   }
   CHECK(entries >= 4);
-  CHECK(entries <= 6);  // its start, its end, and once a second
+  CHECK(entries <= 6);  // the call's start, its end, and a complete report every second
   fixture.fleet.environment.sent.clear();
   fixture.fleet.environment.world.run_for(3s);
   CHECK(fixture.sent(wire::Message::EngineActivity) == 0);
@@ -346,7 +348,7 @@
   fixture.own.start();
   const auto tell_times = [&fixture](std::uint32_t slow_ms) {
     for (const auto& [id, backend] : fixture.registry.backends()) {
-      wire::EngineActivityT message = fixture.word("other", id.str(), 0, 0);
+      wire::EngineActivityT message = fixture.activity_report("other", id.str(), 0, 0);
       message.engines.front()->first_ms = id == BackendId("e0") ? slow_ms : 20;
       fixture.own.take(message);
     }
@@ -366,9 +368,9 @@
 
 namespace {
 
-/// A coordinator that holds calls while all slots are taken.
-struct holding_fixture : gateway_fixture {
-  holding_fixture() { fill_zone("z0"); }
+/// A coordinator that queues calls while all slots are taken.
+struct queueing_fixture : gateway_fixture {
+  queueing_fixture() { fill_zone("z0"); }
 
   std::shared_ptr<const policy::call_order> order = std::make_shared<policy::attainable_call_order>();
   coordinator holder{fleet.environment, fleet.counters, log, registry, fleet.who, self(), order};
@@ -376,7 +378,7 @@
   void fill_zone(const std::string& zone) {
     for (const auto& [id, backend] : registry.backends()) {
       if (backend.machine.zone == zone) {
-        holder.take(word("other", id.str(), kSlots, 0));
+        holder.take(activity_report("other", id.str(), kSlots, 0));
       }
     }
   }
@@ -388,7 +390,7 @@
     asked.rank = rank;
     return holder.choose({"asker", request, PeerAddress("asker:1")}, kOwnDomain, asked, true);
   }
-  /// @return the questions that were answered with an engine, in order.
+  /// @return the numbers of the requests that were answered with an engine, in order.
   std::vector<std::uint64_t> granted() const {
     std::vector<std::uint64_t> found;
     for (const SentMessage& message : fleet.environment.sent) {
@@ -399,18 +401,18 @@
     }
     return found;
   }
-  void free_slots(std::uint32_t slots) { holder.take(word("other", "e0", kSlots - slots, 0)); }
+  void free_slots(std::uint32_t slots) { holder.take(activity_report("other", "e0", kSlots - slots, 0)); }
   void run_for(Duration time) { fleet.environment.world.run_for(time); }
 };
 
 }  // namespace
 
 TEST_CASE("calls wait while every slot is taken, and those that can be in time go first, then the late ones") {
-  holding_fixture fixture;
-  CHECK(fixture.ask(1, -50ms).waiting);  // late already
+  queueing_fixture fixture;
+  CHECK(fixture.ask(1, -50ms).waiting);  // has already missed its target
   CHECK(fixture.ask(2, 200ms).waiting);
   CHECK(fixture.ask(3, 100ms).waiting);
-  CHECK(fixture.ask(4, 80ms, 4s, {0, 1}).waiting);  // of a less urgent route
+  CHECK(fixture.ask(4, 80ms, 4s, {0, 1}).waiting);  // on a less urgent route
   fixture.run_for(20ms);
   CHECK(fixture.granted().empty());
   fixture.free_slots(1);
@@ -422,11 +424,11 @@
 }
 
 TEST_CASE("a call that waits is asked for again without losing its place, and twice granted never") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   fixture.ask(1, 100ms);
   fixture.ask(2, 100ms);
   for (int repeat = 0; repeat < 10; ++repeat) {
-    fixture.run_for(waiting_calls::kRefresh);
+    fixture.run_for(waiting_calls::kRepeatInterval);
     CHECK(fixture.ask(1, 100ms).waiting);
     CHECK(fixture.ask(2, 100ms).waiting);
   }
@@ -436,21 +438,21 @@
 }
 
 TEST_CASE("who left or fell silent while it waited gets no slot") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   fixture.ask(1, 100ms);
   fixture.ask(2, 100ms);
   fixture.holder.withdraw({"asker", 1, {}});
   fixture.run_for(700ms);
   fixture.ask(3, 100ms);
-  fixture.run_for(700ms);  // 2 has not been asked for again in 1.4 s
+  fixture.run_for(700ms);  // request 2 has not been repeated for 1.4 s
   fixture.free_slots(4);
   fixture.run_for(20ms);
   CHECK(fixture.granted() == std::vector<std::uint64_t>{3});
 }
 
 TEST_CASE("a call that would wait for longer than its caller is rejected at once, with the time to come back") {
-  holding_fixture fixture;
-  // The zone's slots end one call after the other within 700 ms; 60 ms are enough for some of them only.
+  queueing_fixture fixture;
+  // Calls hold a slot for 700 ms, so that only some of the zone's slots become free within 60 ms.
   std::optional<Duration> retry_after;
   std::uint64_t request = 0;
   while (!retry_after && request < 1'000) {
@@ -462,8 +464,8 @@
   CHECK(fixture.ask(5'000, 50ms, 4s).waiting);
 }
 
-// An engine that had just started got 13 requests in one second, 12.8 were allowed: gateways and coordinators did not
-// know that it bore few.
+// Guards against gateways and coordinators that ignore the rate limit of engines that are warming up: an engine that
+// had just started got 13 requests in one second, where 12.8 were allowed.
 TEST_CASE("engines that warm up get no more calls a second than they bear, and the others wait") {
   gateway_fixture fixture;
   coordinator holder{fixture.fleet.environment,
@@ -506,7 +508,7 @@
   gateway_fixture fixture;
   for (const auto& [id, backend] : fixture.registry.backends()) {
     if (backend.machine.zone == kOwnDomain.zone) {
-      fixture.own.take(fixture.word("other", id.str(), 1, 0, true));
+      fixture.own.take(fixture.activity_report("other", id.str(), 1, 0, true));
     }
   }
   wire::PlaceRoomT room;
@@ -519,7 +521,7 @@
 }
 
 TEST_CASE("calls that wait are passed on to a zone that has room") {
-  holding_fixture fixture;
+  queueing_fixture fixture;
   fixture.ask(1, 100ms);
   wire::PlaceRoomT room;
   room.pool = kPool;
@@ -534,7 +536,7 @@
 
 TEST_CASE("a gateway asks again for a call that waits, and goes to the next coordinator when the first dies") {
   gateway_fixture fixture;
-  fixture.fleet.say(fixture.self().id, wire::MemberState::Alive);
+  fixture.fleet.set_member_state(fixture.self().id, wire::MemberState::Alive);
   forwarding::place_query query = fixture.query();
   query.first = BackendId("e1");
   query.affinity_key = "shared";
@@ -550,7 +552,7 @@
   CHECK(fixture.sent(wire::Message::PlaceRequest) == 1);
   fixture.fleet.environment.world.run_for(15ms);
   CHECK(fixture.sent(wire::Message::PlaceRequest) == 2);
-  // Two questions in a row without an answer.
+  // Two consecutive requests without a reply make the client turn to the next coordinator.
   fixture.fleet.environment.world.run_for(45ms);
   CHECK(answers == 0);
   CHECK(fixture.last_asked() != first);
@@ -571,16 +573,16 @@
   REQUIRE(first);
   CHECK_FALSE(first->keeps_start);
   fixture.fleet.environment.world.run_for(200ms);
-  // Full but for the others' calls there: the kept start is worth a short queue.
-  fixture.own.take(fixture.word("asker", first->engine.str(), 0, 0));
-  fixture.own.take(fixture.word("other", first->engine.str(), kSlots, 0));
+  // All slots are taken by calls of other nodes: the cached prefix is worth a short queue.
+  fixture.own.take(fixture.activity_report("asker", first->engine.str(), 0, 0));
+  fixture.own.take(fixture.activity_report("other", first->engine.str(), kSlots, 0));
   query.holding = 300ms;
   const auto queued = fixture.own.choose(caller{"asker"}, kOwnDomain, query, true).place;
   REQUIRE(queued);
   CHECK(queued->engine == first->engine);
   CHECK(queued->keeps_start);
-  // A long queue is not.
-  fixture.own.take(fixture.word("other", first->engine.str(), kSlots + 3, 0));
+  // It is not worth a long queue.
+  fixture.own.take(fixture.activity_report("other", first->engine.str(), kSlots + 3, 0));
   const auto elsewhere = fixture.own.choose(caller{"asker"}, kOwnDomain, query, true).place;
   REQUIRE(elsewhere);
   CHECK(elsewhere->engine != first->engine);
--- a/tests/placement/duties_test.cpp
+++ b/tests/placement/duties_test.cpp
@@ -51,7 +51,7 @@
   fleet_members fleet(250);
   const std::string first = fleet.who.coordinators_of("engines p z1", "z1").front()->id;
   const std::string second = fleet.who.coordinators_of("engines p z1", "z1").at(1)->id;
-  fleet.say(first, wire::MemberState::Suspect);
+  fleet.set_member_state(first, wire::MemberState::Suspect);
   CHECK(fleet.who.coordinators_of("engines p z1", "z1").front()->id == second);
 }
 
@@ -69,7 +69,7 @@
 }
 
 TEST_CASE("of a zone's gateways the better equipped are coordinators before all others, whatever the key") {
-  // Of the zone z0's ten gateways only two have more than a small part of a core.
+  // Only two of the ten gateways in zone z0 have more capacity than a small fraction of a core.
   fleet_members fleet(50, [](unsigned number) { return number == 5 || number == 40 ? 50U : 12U; });
   for (int key = 0; key < 20; ++key) {
     const auto ranked = fleet.who.coordinators_of("domain " + std::to_string(key), "z0");
