--- a/src/membership/fleet_search.hpp
+++ b/src/membership/fleet_search.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file How a node looks for the fleet while it knows no living member. For operators only: nothing is decided by it.
+/// @file State of a node's search for the fleet while it knows no live member. Used for logs and metrics only; no
+/// decision depends on it.
 
 #include <algorithm>
 #include <cstddef>
@@ -10,27 +11,28 @@
 
 namespace madderdeck::membership {
 
-/// Whose word ended a search.
+/// How the sender of the message that ended a search was known to this node.
 enum class found_by { seed, remembered_peer, peer };
 
-/// @return its name in logs.
+/// @return the name of @p who in logs.
 std::string_view name_of(found_by who);
 
-/// A search begins when a node starts, or has lost all members, and ends with the first word of a living one.
+/// A search begins when a node starts or all members it knew are dead. It ends when the node learns of a live member.
 class fleet_search {
  public:
   /// @param at_start whether the node has just started; otherwise all members that it knew are dead.
+  /// Resets the counters of messages sent.
   void begin(Timestamp now, bool at_start);
   void end() { active_ = false; }
   bool active() const { return active_; }
   bool at_start() const { return at_start_; }
   Duration alone(Timestamp now) const { return now - began_at_; }
-  /// @return whether it is time to tell of it: after kFirstWord, then with pauses that double. Asking counts as
-  /// telling.
+  /// @return whether a report of the ongoing search is due: first after kFirstWord, then at intervals that double up to
+  /// kLongestPause. If so, the next report is scheduled; the caller is expected to emit this one.
   bool take_word(Timestamp now);
 
-  std::size_t seeds_asked = 0;       ///< Messages to seeds, in this search.
-  std::size_t remembered_asked = 0;  ///< To peers that the disk remembers.
+  std::size_t seeds_asked = 0;       ///< Pings sent to seeds during this search.
+  std::size_t remembered_asked = 0;  ///< Pings sent to peers read from the disk during this search.
 
   static constexpr Duration kFirstWord = 3s;
   static constexpr Duration kLongestPause = 10min;
--- a/src/membership/member_lists.cpp
+++ b/src/membership/member_lists.cpp
@@ -1,4 +1,4 @@
-/// @file Exchange of whole member lists between nodes that differ.
+/// @file Anti-entropy: exchange of member lists between nodes whose lists differ.
 
 #include <algorithm>
 
@@ -10,10 +10,10 @@
 using wire::MemberState;
 using wire::MemberT;
 
-// Single updates cannot carry a storm: when a whole fleet starts at once, each node would have
-// to pass on hundreds of them, six a message. Probes carry a digest of the live members, and
-// nodes that differ exchange the parts of their lists that differ: after a change of one member
-// that is one part of 64, not the whole list of 1,000 members from each node.
+// Gossip of single updates does not scale to a burst of changes: when a whole fleet starts at once, each node would
+// have to forward hundreds of updates at six per message. Probes therefore carry a digest of the live members, and
+// nodes whose digests differ exchange only the parts of their lists that differ. A change of one member costs one
+// part of 64 instead of the whole list of 1,000 members from each node.
 
 namespace {
 
@@ -59,7 +59,7 @@
 
 void Membership::handle(const PeerAddress& sender, const wire::MemberDigestsT& message) {
   if (message.parts.size() != kParts) {
-    send_whole_list(sender, true);  // of a version that divides its list otherwise
+    send_whole_list(sender, true);  // the sender runs a version that partitions its list differently
     return;
   }
   const std::vector<std::uint64_t> own = part_digests();
@@ -84,8 +84,8 @@
   }
 }
 
-/// Who starts hears first of the seeds, and so does everybody else who starts then: their lists would go to all, over
-/// one link.
+/// A starting node usually hears from a seed first. When many nodes start together, exchanging lists with the seeds
+/// would send a list to each of them over the seeds' links, so another peer is preferred until the fleet is known.
 PeerAddress Membership::list_partner(const PeerAddress& differs) {
   if (knows_fleet() || std::find(seeds_.begin(), seeds_.end(), differs) == seeds_.end()) {
     return differs;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -11,22 +11,24 @@
 using wire::MemberT;
 
 constexpr std::size_t kMembersPerDatagram = 5;
-/// Enough to be heard of by many and to exchange lists with some; all members would be 200 datagrams for each of 1,000
-/// nodes that start at once, from few seeds.
+/// Enough for the joining node to become known to many and to exchange lists with some. Replying with all members would
+/// take 200 datagrams for each of 1,000 nodes that start at once, sent by few seeds.
 constexpr std::size_t kMembersPerJoinReply = 25;
 constexpr std::size_t kMaxRelays = 1024;
-/// The former process may outbid the same word by one when it wakes; of two alike each node would keep another one.
+/// Incarnation step when refuting the death of a process of this name at another address. When that process resumes, it
+/// may refute the same update with a step of one; with equal incarnations nodes would keep different entries.
 constexpr std::uint64_t kStepElsewhere = 2;
-/// Seeds answer within some milliseconds; for so long only they are asked.
+/// Remembered peers are pinged only after this time. Seeds that are up answer within some milliseconds.
 constexpr Duration kSeedsFirst = 500ms;
-/// Of the remembered peers, in a period.
+/// Maximum number of remembered peers pinged in a period.
 constexpr std::size_t kRememberedAtOnce = 4;
-/// Without a new member for so long a node knows the fleet: lists of members come several a second while it joins.
+/// A node is taken to know the fleet once it has learned of no new member for this time. While it joins, it receives
+/// several member lists per second.
 constexpr Duration kJoinQuiet = 400ms;
-/// Nodes that start after each other must not put that off for ever.
+/// Upper bound on joining, since nodes that start one after the other would otherwise postpone its end indefinitely.
 constexpr Duration kLongestJoin = 5s;
 
-/// At the same incarnation a graver state overrides a milder one.
+/// At the same incarnation a state of higher severity overrides one of lower severity.
 int gravity(MemberState state) {
   switch (state) {
     case MemberState::Alive:
@@ -76,7 +78,8 @@
   digest_ = digest_of(self_);
 }
 
-/// A fleet that starts all at once: the first look finds seeds that do not listen yet, and a whole period would pass.
+/// When a whole fleet starts at once, the first ping reaches seeds that do not listen yet. Short retries avoid waiting
+/// a whole period for the next one.
 void Membership::join_quickly(Duration pause) {
   if (!members_.empty() || seeds_.empty() || pause >= options_.period) {
     return;
@@ -347,8 +350,8 @@
   }
 }
 
-/// Knowing somebody is not knowing the fleet: where messages were lost at the start, parts that each hold a seed would
-/// never hear of each other. One seed a period; the answer shows whether the lists differ.
+/// Pings one seed per period if it is not a known live member. If messages are lost at the start, the fleet can split
+/// into parts that each contain a seed and never learn of each other; the answer shows whether the lists differ.
 void Membership::look_at_unknown_seed() {
   if (seeds_.empty()) {
     return;
@@ -381,7 +384,7 @@
   if (!dead.empty()) {
     const NodeId& chosen = dead[environment_.random() % dead.size()];
     wire::PingT ping = make_probe_message<wire::PingT>(++sequence_);
-    // Tell the member what is said about it, so that it can refute.
+    // Include the update that declares the member dead, so that the member can refute it.
     ping.updates.push_back(std::make_unique<MemberT>(members_.at(chosen).member));
     send_message(environment_, PeerAddress(members_.at(chosen).member.peer_address), std::move(ping));
   }
@@ -462,7 +465,7 @@
     update.state = MemberState::Suspect;
     accept_update(entry->second, update);
   } else if (member.state == MemberState::Leaving) {
-    // A leaving member that no longer answers has finished leaving.
+    // A leaving member that no longer answers has probably exited; it needs no suspect state first.
     schedule_death(node, member.incarnation);
   }
 }
@@ -608,7 +611,8 @@
   const bool dead = rumour.state == MemberState::Dead;
   const bool accused = rumour.state == MemberState::Suspect || dead;
   const bool outdated = rumour.incarnation > self_.incarnation;
-  // A process of this name at another address may run: it is outbid once it is taken for dead, not before.
+  // Another process with this node's name may still run at the other address, so its entry is overridden only after it
+  // was declared dead.
   if (rumour.incarnation < self_.incarnation || (elsewhere ? !dead : !accused && !outdated)) {
     return;
   }
@@ -668,7 +672,8 @@
 std::vector<std::unique_ptr<MemberT>> Membership::take_updates() {
   const double scale = std::log2(static_cast<double>(members_.size()) + 2.0);
   const auto limit = static_cast<std::size_t>(std::ceil(options_.retransmit_factor * scale));
-  // Leaves go first, since work must stop for them; then the least repeated, which is the news; then the oldest.
+  // Updates about leaving members go first, since peers must stop sending them work; then those sent least often, which
+  // are the newest; then the oldest.
   std::vector<std::size_t> order(updates_.size());
   std::iota(order.begin(), order.end(), 0);
   const std::size_t wanted = std::min(options_.updates_per_message, order.size());
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Who is in the fleet: gossip with suspicion and refutation (SWIM), plus a leaving
-/// state that spreads eagerly. See docs/design/membership.md.
+/// @file Fleet membership: SWIM gossip with suspicion and refutation, extended by a leaving
+/// state that is disseminated immediately. See docs/design/membership.md.
 
 #include <algorithm>
 #include <functional>
@@ -20,41 +20,41 @@
 /// Roles a node can have, as bits of Member::roles.
 enum class Role : std::uint32_t { gateway = 1, scheduler = 2, ledger = 4, controller = 8 };
 
-/// @return whether @p member states that it has @p role.
+/// @return whether @p member announces @p role.
 inline bool has_role(const wire::MemberT& member, Role role) {
   return (member.roles & static_cast<std::uint32_t>(role)) != 0;
 }
 
 struct Options {
-  Duration period = 1s;          ///< One probe each period.
-  Duration ack_timeout = 300ms;  ///< Then other members are asked to probe.
+  Duration period = 1s;          ///< One member is probed in each period.
+  Duration ack_timeout = 300ms;  ///< After this time without an ack, other members are asked to probe indirectly.
   std::size_t indirect_probes = 3;
-  double suspicion_periods = 3.0;  ///< Times log10(members + 1), at least one.
-  std::size_t eager_fanout = 3;    ///< Peers told at once of a change of state.
-  Duration eager_delay = 30ms;     ///< Changes within this time share one message.
+  double suspicion_periods = 3.0;  ///< Multiplied by max(1, log10(members + 1)): periods from suspect to dead.
+  std::size_t eager_fanout = 3;    ///< Peers that are sent an urgent state change without waiting for a probe.
+  Duration eager_delay = 30ms;     ///< Urgent changes within this time share one message.
   std::size_t updates_per_message = 6;
-  double retransmit_factor = 3.0;     ///< Times log2(members + 1).
-  std::size_t eager_limit = 24;       ///< With more news than this waiting, lists do the work.
-  Duration least_sync_interval = 1s;  ///< Between whole lists sent to peers that differ.
+  double retransmit_factor = 3.0;     ///< Multiplied by log2(members + 1): how often an update is sent.
+  std::size_t eager_limit = 24;       ///< With more updates queued, nodes rely on exchanges of member lists instead.
+  Duration least_sync_interval = 1s;  ///< Minimum time between comparisons of lists with peers that differ.
   Duration most_sync_interval = 32s;
-  /// From the first look for the fleet to the second, while nobody is known; it doubles up to the period. Seeds of a
-  /// large fleet that starts all at once hear every node's looks.
+  /// Delay between the first and the second ping to the seeds while no member is known; it doubles up to the period.
+  /// The seeds of a large fleet that starts all at once receive these pings from every node.
   Duration join_pause = 80ms;
-  Duration dead_probe_interval = 5s;  ///< How often a dead member is tried, to heal a cut.
+  Duration dead_probe_interval = 5s;  ///< How often a dead member is probed, to recover from a network partition.
   Duration forget_dead_after = 24h;
 };
 
-/// @return the name of @p state that operators see.
+/// @return the name of @p state in logs and status output.
 const char* name_of(wire::MemberState state);
 
-/// The latest word of a member.
+/// The latest information about a member.
 struct member_word {
-  Duration age{};          ///< Since this node read it.
-  bool first_hand = true;  ///< From the member itself; otherwise news of it that others have passed on.
+  Duration age{};          ///< Time since this node received it.
+  bool first_hand = true;  ///< Whether it came from the member itself; otherwise another node forwarded it.
 };
 
-/// Revisions of the versioned tables, carried by every probe, and how long ago the store showed that nothing later
-/// stood there, in milliseconds.
+/// Revisions of the versioned tables, carried by every probe. The ages are milliseconds since the store last confirmed
+/// that the revision is the latest.
 struct TableRevisions {
   static constexpr std::uint32_t kUnknownAge = UINT32_MAX;
   std::uint64_t objects = 0;
@@ -65,45 +65,45 @@
   std::uint64_t evacuations = 0;
 };
 
-/// What Membership asks of and tells to its owner.
+/// Callbacks from Membership to its owner.
 struct Hooks {
   std::function<TableRevisions()> local_revisions;
   std::function<void(const PeerAddress&, const TableRevisions&)> on_peer_revisions;
-  /// A member appeared, left, died or came back.
+  /// Called when a member appeared, left, died, came back or changed its disk.
   std::function<void(const wire::MemberT&)> on_change;
-  /// Others had declared this node dead: it was cut off or frozen for long.
+  /// Called when other nodes had declared this node dead, because it was partitioned or frozen for long.
   std::function<void()> on_self_refuted;
-  /// No living member has been heard of for some time; may be empty.
+  /// Called when no live member has been found for some time; may be empty.
   std::function<void(const fleet_search&)> on_not_found;
-  /// A search has ended with word from @p by; may be empty.
+  /// Called when a message from @p by ended a search; may be empty.
   std::function<void(const fleet_search&, const PeerAddress& by, found_by)> on_found;
 };
 
-/// Membership of one node. Single threaded.
+/// One node's view of the fleet's members. Single threaded.
 class Membership {
  public:
   Membership(Environment& environment, Counters& counters, wire::MemberT self, std::vector<PeerAddress> seeds,
              Hooks hooks, Options options = {});
 
   void start();
-  /// Announces that this node takes no new work. It goes on answering probes.
+  /// Announces that this node takes no new work. It continues to answer probes.
   void leave();
-  /// Replaces the addresses at which the fleet is looked for.
+  /// Replaces the seed addresses, at which this node searches for the fleet.
   void set_seeds(std::vector<PeerAddress> seeds) { seeds_ = std::move(seeds); }
   bool has_seeds() const { return !seeds_.empty(); }
   const std::vector<PeerAddress>& seeds() const { return seeds_; }
-  /// Takes the peers that an earlier process of this node knew. They are asked besides the seeds.
+  /// Sets the peers that an earlier process of this node knew. They are pinged in addition to the seeds.
   void recall(std::vector<remembered_peer> peers);
-  /// Takes a later list of them.
+  /// Replaces the list of remembered peers without pinging each of the new entries at once.
   void remember(std::vector<remembered_peer> peers) { remembered_ = std::move(peers); }
   const std::vector<remembered_peer>& remembered() const { return remembered_; }
-  /// @return whether other nodes look for the fleet here.
+  /// @return whether this node's own address is among the seeds.
   bool is_seed() const {
     return std::find(seeds_.begin(), seeds_.end(), PeerAddress(self_.peer_address)) != seeds_.end();
   }
-  /// Announces that this node's disk is to be emptied. It goes on working meanwhile.
+  /// Announces that this node's disk is to be emptied. The node continues to work meanwhile.
   void retire();
-  /// Tells the others which disk this node runs with, which it did not know when it started.
+  /// Announces which disk this node uses, for a node that did not know it when it started.
   void set_disk(const std::string& disk_id);
 
   void handle(const PeerAddress& sender, const wire::PingT& message);
@@ -113,27 +113,26 @@
   void handle(const PeerAddress& sender, const wire::MemberDigestsT& message);
 
   const wire::MemberT& self() const { return self_; }
-  /// @return what is believed of @p node, which may be this one; null when nothing is known.
+  /// @return the last known state of @p node, which may be this node; null if it is unknown.
   const wire::MemberT* find(const NodeId& node) const;
   std::optional<PeerAddress> address_of(const NodeId& node) const;
-  /// @return the latest word of @p node, which may be this one; nothing when none is known.
+  /// @return age and origin of the latest information about @p node, which may be this node; nothing if unknown.
   std::optional<member_word> last_word_of(const NodeId& node) const;
-  /// @return 0 for a node of this zone, 1 for one of this region, 2 for others and unknown ones.
+  /// @return 0 for a node in this node's zone, 1 for one in its region, 2 for all others and for unknown nodes.
   unsigned distance_to(const NodeId& node) const;
-  /// @return whether the node at @p address is known to stand in this node's zone.
+  /// @return whether the node at @p address is known to be in this node's zone.
   bool is_near(const PeerAddress& address) const;
-  /// @return all known members with this node among them, whatever their state.
+  /// @return all known members in any state, including this node.
   std::vector<const wire::MemberT*> members() const;
-  /// @return all other members, and of the dead those that have been so for less than @p within: on a network that
-  /// loses
-  ///         much a node seems dead for some seconds until it has said that it is not.
+  /// @return all other members that are not dead, and those that have been dead for less than @p within: on a network
+  ///         with heavy packet loss a live node can be declared dead for some seconds until it refutes this.
   std::vector<const wire::MemberT*> others_not_long_dead(Duration within) const;
-  /// @return members with @p role that take new work, this node among them when it does.
+  /// @return members with @p role that take new work, including this node if it does.
   std::vector<const wire::MemberT*> available(Role role) const;
-  /// @return members with @p role that answer probes and take new work, this node among them when it does.
+  /// @return members with @p role that answer probes and take new work, including this node if it does.
   std::vector<const wire::MemberT*> responsive(Role role) const;
-  /// @return whether this node likely knows most of the fleet: others have told it of no new member for a while. Until
-  ///         then duties that are shared among all would be far too many for it.
+  /// @return whether this node likely knows most of the fleet, since it has learned of no new member for a while. Until
+  ///         then its share of duties that are divided among all members would be far too large.
   bool knows_fleet() const;
   /// @return whether @p node is neither dead nor unknown.
   bool is_live(const NodeId& node) const;
@@ -147,13 +146,13 @@
   struct Entry {
     wire::MemberT member;
     Timestamp state_since{};
-    Timestamp heard_at{};  ///< The latest message of its own; zero: none.
-    Timestamp told_at{};   ///< The latest news of it from others; zero: none.
+    Timestamp heard_at{};  ///< Time of the latest message from the member itself; zero if none.
+    Timestamp told_at{};   ///< Time of the latest accepted update about it from other nodes; zero if none.
   };
   struct Update {
     NodeId node;
     std::size_t sent = 0;
-    bool leaving = false;  ///< Goes before all other news.
+    bool leaving = false;  ///< Sent before all other updates.
   };
   struct Probe {
     NodeId target;
@@ -168,34 +167,35 @@
   void probe(const NodeId& target);
   void probe_indirectly(std::uint64_t sequence);
   void finish_probe(std::uint64_t sequence);
-  /// While no living member is known.
+  /// Pings the seeds and reports the search. Runs in each period in which no live member is known.
   void look_for_fleet();
   void begin_search(bool at_start);
-  /// Ends the search if a living member is known by now.
+  /// Ends the search for the fleet, on a message from @p sender, if a live member is known.
   void note_word(const PeerAddress& sender);
   void ping_seeds();
-  /// Asks remembered peers: several a period while nobody is known and until each was asked once, then now and then one
-  /// that is no member, since parts of a fleet may have come up apart.
+  /// Pings remembered peers: several per period while no live member is known and until each was pinged once, then
+  /// occasionally one that is not a member, since parts of a fleet may have started separately.
   void ask_remembered();
-  /// @return whether a member, living or dead, is known at @p address.
+  /// @return whether this node or a known member, live or dead, has @p address.
   bool knows_address(const PeerAddress& address) const;
   found_by who_lives_at(const PeerAddress& address) const;
   void look_at_unknown_seed();
-  /// Looks for the fleet often until somebody is known.
+  /// Pings the seeds after @p pause and then at doubling intervals until a member is known.
   void join_quickly(Duration pause);
   void probe_dead_member();
   std::optional<NodeId> next_probe_target();
-  /// @param spread whether peers are told; what a whole list brings they get by lists, too.
-  /// @return whether anything changed.
+  /// @param spread whether the update is gossiped to peers; false for updates from member lists, which peers also get
+  ///        from lists.
+  /// @return whether the update was accepted.
   bool merge(const wire::MemberT& update, bool first_hand, bool spread);
   void refute(const wire::MemberT& rumour);
   void accept_update(Entry& entry, const wire::MemberT& update, bool spread = true);
   void compare_lists(const PeerAddress& sender, std::uint64_t digest);
   void send_whole_list(const PeerAddress& to, bool reply);
   void send_digests(const PeerAddress& to, bool reply);
-  /// @return digests over the members of each part of the list.
+  /// @return one digest for each part of the member list.
   std::vector<std::uint64_t> part_digests() const;
-  /// @return whom to exchange lists with as @p differs holds another one.
+  /// @return the peer to exchange lists with after @p differs reported a different digest.
   PeerAddress list_partner(const PeerAddress& differs);
   static std::uint64_t digest_of(const wire::MemberT& member);
   void suspect(const NodeId& node);
@@ -203,12 +203,12 @@
   void enqueue(const NodeId& node, bool eager);
   void flush_eagerly();
   std::vector<std::unique_ptr<wire::MemberT>> take_updates();
-  /// @return a ping or an ack with news, revisions and the digest.
+  /// @return a ping or an ack with queued updates, table revisions and the digest.
   template <class Message>
   Message make_probe_message(std::uint64_t sequence);
-  /// Answers a node that looks for the fleet; it learns of the others from these.
+  /// Sends a random sample of members to a node that searches for the fleet.
   void send_some_members(const PeerAddress& to);
-  /// @return up to @p count random live members, this node not among them.
+  /// @return up to @p count random live members, excluding this node.
   std::vector<const wire::MemberT*> random_members(std::size_t count);
   template <class Message>
   void absorb(const PeerAddress& sender, const Message& message);
@@ -220,10 +220,10 @@
   wire::MemberT self_;
   std::vector<PeerAddress> seeds_;
   fleet_search search_;
-  std::size_t next_seed_ = 0;  ///< Of those that are looked at once a period.
+  std::size_t next_seed_ = 0;  ///< Position in the round-robin check for unknown seeds, one seed per period.
   std::vector<remembered_peer> remembered_;
   std::size_t next_remembered_ = 0;
-  std::size_t not_asked_yet_ = 0;  ///< Of those that were recalled.
+  std::size_t not_asked_yet_ = 0;  ///< Number of peers passed to recall() that were not tried yet.
   Timestamp last_remembered_ask_{};
   std::map<NodeId, Entry> members_;
   std::vector<NodeId> probe_order_;
@@ -234,10 +234,10 @@
   bool eager_scheduled_ = false;
   std::uint64_t version_ = 1;
   Timestamp started_at_{};
-  Timestamp learnt_at_{};     ///< When the latest new member was heard of.
-  std::uint64_t digest_ = 0;  ///< Over all live members, this node among them.
+  Timestamp learnt_at_{};     ///< When this node last learned of a new member.
+  std::uint64_t digest_ = 0;  ///< Digest of all live members, including this node.
   Timestamp last_sync_{};
-  Duration sync_interval_{};  ///< Doubles while whole lists bring nothing new.
+  Duration sync_interval_{};  ///< Doubles with each comparison; reset when a received list brings a change.
   Timestamp last_dead_probe_{};
   Lifetime lifetime_;
 };
--- a/src/membership/ranking.hpp
+++ b/src/membership/ranking.hpp
@@ -1,12 +1,12 @@
 #pragma once
-/// @file Who of the fleet looks after what: rendezvous ranking of the members with a role.
+/// @file Assigns keys to members of a role by rendezvous hashing.
 
 #include "common/hash.hpp"
 #include "membership/membership.hpp"
 
 namespace madderdeck::membership {
 
-/// @return the one of @p candidates that looks after @p key; null where there is none.
+/// @return the member of @p candidates that is responsible for @p key; null if @p candidates is empty.
 inline const wire::MemberT* first_ranked(const std::vector<const wire::MemberT*>& candidates, std::string_view key) {
   const wire::MemberT* first = nullptr;
   std::uint64_t first_weight = 0;
@@ -20,8 +20,8 @@
   return first;
 }
 
-/// @return the scheduler that looks after @p key (a job, an engine, a limit) by this node's view; null where none is
-/// known.
+/// @return the scheduler that is responsible for @p key (a job, an engine, a limit) in this node's view of the fleet;
+/// null if no available scheduler is known.
 inline const wire::MemberT* ranked_scheduler(const Membership& members, std::string_view key) {
   return first_ranked(members.available(Role::scheduler), key);
 }
--- a/src/membership/remembered_peers.cpp
+++ b/src/membership/remembered_peers.cpp
@@ -12,8 +12,8 @@
 
 using Candidates = std::vector<const wire::MemberT*>;
 
-/// @return @p candidates of all zones in turn; within a zone each node has an order of its own, so that no peer is
-///         remembered by all.
+/// @return @p candidates interleaved by zone. Within a zone they are ordered by rendezvous weight for @p self, so that
+///         different nodes remember different peers.
 Candidates in_turn(const Candidates& candidates, const std::string& self) {
   std::map<std::string, std::vector<std::pair<std::uint64_t, const wire::MemberT*>>> zones;
   for (const wire::MemberT* member : candidates) {
@@ -61,7 +61,7 @@
   append(in_turn(with_disk, members.self().id), kMostDisksRemembered, chosen);
   append(in_turn(others, members.self().id), kMostLivingRemembered, chosen);
   for (const remembered_peer& peer : before) {
-    // Who has come back at another address, or whose address is another's, needs no second entry.
+    // A peer that is live again at another address, or whose address now belongs to another node, is dropped.
     if (chosen.size() < kMostRemembered && !members.is_live(peer.id) && !lived_at.contains(peer.address)) {
       chosen.push_back(peer);
     }
--- a/src/membership/remembered_peers.hpp
+++ b/src/membership/remembered_peers.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Which peers a node with a disk remembers there, for a start at which its seeds answer nobody.
+/// @file Selects the peers that a node with a disk stores there, to contact at its next start if its seeds do not
+/// answer.
 
 #include <cstdint>
 #include <string>
@@ -11,23 +12,24 @@
 
 class Membership;
 
-/// A peer as it was last known; another node may live at its address by now.
+/// A peer as it was last known; its address may belong to another node by now.
 struct remembered_peer {
   NodeId id;
   PeerAddress address;
   std::string zone;
-  std::uint32_t roles = 0;  ///< As Member::roles.
+  std::uint32_t roles = 0;  ///< Bit mask, as in Member::roles.
   bool operator==(const remembered_peer&) const = default;
 };
 
-/// Bounds of the list: a record of a few kilobytes.
+/// Maximum length of the list, which keeps its record at a few kilobytes.
 inline constexpr std::size_t kMostRemembered = 32;
-inline constexpr std::size_t kMostLivingRemembered = 24;  ///< The rest is for peers that are not known to live.
-inline constexpr std::size_t kMostDisksRemembered = 16;   ///< Of the living ones, those with a disk.
+inline constexpr std::size_t kMostLivingRemembered =
+    24;  ///< The remaining entries are reserved for peers not known to be live.
+inline constexpr std::size_t kMostDisksRemembered = 16;  ///< Maximum number of live peers with a disk.
 
-/// @param before the list until now; its peers that are not known to live are kept while there is room: a part of the
-///        fleet that has come up apart must not forget the others.
-/// @return living peers first, those with a disk before others, of all zones in turn.
+/// @param before the previous list. Its peers that are not known to be live are kept while there is room, so that a
+///        part of the fleet that started separately does not forget the other parts.
+/// @return live peers first, those with a disk before others, interleaved by zone.
 std::vector<remembered_peer> choose_peers(const Membership& members, const std::vector<remembered_peer>& before);
 
 }  // namespace madderdeck::membership
--- a/src/quarantine/end_detector.cpp
+++ b/src/quarantine/end_detector.cpp
@@ -78,7 +78,7 @@
   counters_["backend_ends_seen_total"]++;
 }
 
-/// Nobody waits for it: the calls have gone on.
+/// Nothing waits for this check: the callers of the broken calls have already been given a result.
 void end_detector::look_once_more(const BackendId& backend, std::vector<routing::broken_call> calls) {
   environment_.after(kLateLook, lifetime_.guard([this, backend, calls = std::move(calls)] {
     counters_["backend_end_checks_total"]++;
--- a/src/quarantine/end_detector.hpp
+++ b/src/quarantine/end_detector.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Whether a back end ended when a call to it broke off, or only the connection did.
+/// @file Determines, after a call to a back end broke off, whether the back end terminated or only the connection
+/// failed.
 
 #include <functional>
 #include <map>
@@ -13,11 +14,11 @@
 
 namespace madderdeck::quarantine {
 
-/// Asks the back end's address for a connection: one that is refused means that the process is gone. Silence does not
-/// (a cut or frozen machine says nothing either), nor does a reset while connections are taken, twice: a process that
-/// ends may reset its connections a little before its address refuses new ones. With one look eight engines ended under
-/// a request instead of three (one of 39 runs with real processes). Calls that broke together share one question.
-/// Single threaded.
+/// Connects to the back end's address. A refused connection means that the process is gone. No answer does not (a
+/// partitioned or frozen machine does not answer either), nor does a reset if two later connection attempts succeed.
+/// Two are needed because a terminating process may reset its connections shortly before its address refuses new ones:
+/// with a single check eight engines terminated under one request instead of three (in one of 39 runs with real
+/// processes). Calls to one back end that break at the same time share one check. Single threaded.
 class end_detector {
  public:
   using decided = routing::repeat_guard::decided;
@@ -26,21 +27,23 @@
   end_detector(Environment& environment, Counters& counters, DecisionLog& log, routing::BackendClient& client)
       : environment_(environment), counters_(counters), log_(log), client_(client) {}
 
-  /// @p done may run before this returns, and runs within kPatience.
+  /// Checks whether the back end of @p call terminated.
+  /// @param done receives the result: true if the back end terminated. It runs within kPatience, possibly before this
+  ///        returns.
   void call_broke(const routing::broken_call& call, decided done);
 
-  /// A back end that still took connections when a call to it broke has ended a moment later.
+  /// Called for each broken call whose back end still accepted connections at first but terminated shortly afterwards.
   std::function<void(const routing::broken_call&)> on_late_end;
 
-  /// Ends are told apart from one another by this: a back end takes longer to start again. Reports of calls that broke
-  /// together lie a few milliseconds apart.
+  /// Calls to one back end that break within this time belong to one termination: a back end takes longer to restart,
+  /// and the reports of calls that broke together are a few milliseconds apart.
   static constexpr Duration kSameEnd = 500ms;
-  /// Between the looks; the kernel closes all that a process had open within a few milliseconds.
+  /// Time between the two checks. The kernel closes all sockets of a terminated process within a few milliseconds.
   static constexpr Duration kSecondLook = 20ms;
-  /// After a connection broke while its back end lived on: one that ends by the request ends 20 to 110 ms after it has
-  /// begun to run it, whether the connection still stands or not.
+  /// Delay of the last check after a connection broke while its back end stayed up. A back end that a request crashes
+  /// terminates 20 to 110 ms after it began to run the request, whether or not the connection is still open.
   static constexpr Duration kLateLook = 150ms;
-  /// Longest wait for an answer; across zones one takes a few milliseconds.
+  /// Timeout of a check. Across zones an answer takes a few milliseconds.
   static constexpr Duration kPatience = 250ms;
 
  private:
@@ -62,7 +65,7 @@
   DecisionLog& log_;
   routing::BackendClient& client_;
   std::map<BackendId, question> questions_;
-  std::map<BackendId, Timestamp> ended_at_;  ///< Of the last kSameEnd.
+  std::map<BackendId, Timestamp> ended_at_;  ///< Terminations within the last kSameEnd.
   std::uint64_t next_question_ = 0;
   Lifetime lifetime_;
 };
--- a/src/quarantine/end_history.cpp
+++ b/src/quarantine/end_history.cpp
@@ -33,8 +33,9 @@
   const auto same =
       std::find_if(known.ends.begin(), known.ends.end(), [&end](const backend_end& one) { return same_end(one, end); });
   if (same != known.ends.end()) {
-    // Two copies ran there; one of them had just begun. Of two nodes' times the earlier one stands, so that all nodes
-    // keep the same whatever they heard first.
+    // If two copies of the request ran there, the termination counts as early when one of them had just begun. Of the
+    // times that two nodes report the earlier one is kept, so that all nodes store the same whichever they received
+    // first.
     const backend_end before = *same;
     same->advanced = same->advanced && end.advanced;
     same->at = std::min(same->at, end.at);
@@ -46,7 +47,7 @@
   if (end.at <= known.answered_at) {
     return false;
   }
-  // The earliest stay, so that nodes that heard of them in another order keep the same.
+  // Keep the earliest ones, so that nodes that received them in a different order store the same.
   const auto later = std::find_if(known.ends.begin(), known.ends.end(),
                                   [&end](const backend_end& one) { return is_earlier(end, one); });
   if (later == known.ends.end() && known.ends.size() >= kMostEnds) {
@@ -73,9 +74,10 @@
       std::count_if(suspect.ends.begin(), suspect.ends.end(), [](const backend_end& end) { return !end.advanced; }));
 }
 
-/// Ends that a request which has more of them explains count for nobody else: the one with most is found first, then
-/// those with what is left. Of requests with as many, one whose ends the others explain between them is left out, and
-/// what two of the rest have counts for neither.
+/// A termination that is explained by the request with the most terminations counts for no other request. The requests
+/// with the most terminations are therefore classified first, then the others with those that remain. Among requests
+/// with equally many, one whose terminations are all shared with the others is left out, and a termination shared by
+/// two of the remaining ones counts for neither.
 end_history::verdict end_history::find_guilty() const {
   std::vector<suspicion> open;
   for (const auto& [request, known] : requests_) {
@@ -137,7 +139,8 @@
   });
 }
 
-/// Those with as many ends as are kept, of any kind, that no guilty one explains: two that always ran together, say.
+/// Adds requests that have kMostEnds terminations, early or not, of which at least kEndsToHoldBack are not explained by
+/// a guilty request. An example are two requests that always ran together.
 void end_history::add_beyond_chance(std::set<request_fingerprint>& guilty) const {
   std::set<request_fingerprint> more;
   for (const auto& [request, known] : requests_) {
@@ -187,7 +190,7 @@
 std::optional<request_fingerprint> end_history::shares_most(const request_fingerprint& request) const {
   const suspected_request* known = find(request);
   std::optional<request_fingerprint> found;
-  std::pair<std::size_t, std::size_t> most;  // shared, and in all: who has more is the likelier reason
+  std::pair<std::size_t, std::size_t> most;  // shared and total: the one with more in total is the likelier cause
   for (const auto& [other, beside] : requests_) {
     if (known == nullptr || other == request) {
       continue;
@@ -223,8 +226,8 @@
 }
 
 bool end_history::merge(const suspected_request& other, UnixMilliseconds now) {
-  // Ends count for as long as there is news of the request: a refusal keeps it, also at nodes that have not heard of
-  // it.
+  // Terminations are kept as long as the request has recent events. A recent refusal on another node therefore keeps
+  // old terminations valid also on a node that has no entry for the request.
   const bool forgotten = other.last_news() + kKeptMs < now;
   bool news = false;
   for (const backend_end& end : other.ends) {
@@ -280,7 +283,7 @@
       found.push_back(known);
     }
   }
-  // The most dangerous first, should there be too many.
+  // Requests with the most terminations come first, in case there are more than fit.
   std::stable_sort(found.begin(), found.end(), [](const suspected_request& left, const suspected_request& right) {
     return left.ends.size() > right.ends.size();
   });
@@ -289,7 +292,7 @@
 }
 
 std::uint64_t end_history::digest() const {
-  // Each end by itself: two nodes that know two different ends each have to find out.
+  // The digest covers each termination, not only their number: nodes that know two different ones each must differ.
   std::uint64_t sum = 0;
   for (const auto& [request, known] : requests_) {
     if (!is_compared(known)) {
--- a/src/quarantine/end_history.hpp
+++ b/src/quarantine/end_history.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Which requests were running when back ends ended. A pure data structure that any two nodes can merge.
+/// @file Records which requests were running on back ends that terminated. A data structure without I/O whose instances
+/// on different nodes can be merged.
 
 #include <cstdint>
 #include <map>
@@ -13,89 +14,101 @@
 
 namespace madderdeck::quarantine {
 
-/// Milliseconds since the Unix epoch, by the clock of the node that saw it: ages in messages would grow on their way.
+/// Milliseconds since the Unix epoch by the clock of the node that observed the event. Messages carry points in time
+/// rather than ages, since an age would be outdated by the transmission time.
 using UnixMilliseconds = std::uint64_t;
 
-/// A back end that ended.
+/// A termination of a back end.
 struct backend_end {
   BackendId backend;
   UnixMilliseconds at = 0;
-  bool advanced = false;  ///< The request had been answered for a while: more likely another one's fault.
+  bool advanced = false;  ///< The request had been producing output for a while, so another one is the likelier cause.
   auto operator<=>(const backend_end&) const = default;
 };
 
-/// One request and the back ends that ended while they ran it.
+/// A request and the back ends that terminated while running it.
 struct suspected_request {
   routing::request_fingerprint request;
-  std::vector<backend_end> ends;     ///< After answered_at, the earliest kMostEnds, in order of time.
-  UnixMilliseconds answered_at = 0;  ///< Its last run that came to a good end; 0: none known.
+  std::vector<backend_end> ends;     ///< The earliest kMostEnds terminations after answered_at, in order of time.
+  UnixMilliseconds answered_at = 0;  ///< When a run of it last completed successfully; 0 if none is known.
   UnixMilliseconds held_back_at = 0;
 
-  /// @return when there was last news of it.
+  /// @return the time of the latest known event: a termination, a successful run or a refusal.
   UnixMilliseconds last_news() const;
 };
 
-/// Requests by fingerprint. Bounded in entries, in ends for each and in time. Single threaded.
+/// Suspected requests by fingerprint. The number of entries, the terminations kept for each and the time for which they
+/// are kept are bounded. Single threaded.
 class end_history {
  public:
-  /// With the third back end that ends soon after it has begun to run a request it is no accident. Each crash of an
-  /// engine puts an end on all that ran there; a batch item of some seconds, which is taken elsewhere each time, meets
-  /// three of them now and then, but seldom just begun each time. Ends at which another request ran that has as many do
-  /// not count: what runs beside a fatal request again and again shares its ends. With all ends counted alike one
-  /// innocent item failed in 60 simulated schedules in which every third action sends a fatal request.
+  /// Early terminations (soon after the run began) at which a request is held back. Each crash of an engine is recorded
+  /// for all requests that ran there. A batch item that runs for some seconds and is moved to another engine each time
+  /// occasionally sees three crashes, but rarely just after it began each time. Terminations shared with another
+  /// request that has as many do not count, since a request that repeatedly runs beside a fatal one shares its
+  /// terminations. With all terminations counted alike, one harmless item failed in 60 simulated schedules in which
+  /// every third action sends a fatal request.
   static constexpr std::size_t kEndsToHoldBack = 3;
-  /// With so many ends of any kind a request is held back whoever else was there, unless others that are held back
-  /// explain them. More are not kept.
+  /// With this many terminations, early or not, a request is held back regardless of which others ran beside it, unless
+  /// requests that are already held back explain them. Further terminations are not stored.
   static constexpr std::size_t kMostEnds = 5;
-  /// Of about 300 bytes each. Those with the fewest ends go first, among them those without news for longest.
+  /// Capacity in entries of about 300 bytes each. Entries with the fewest terminations are evicted first, among these
+  /// the ones with the oldest last event.
   static constexpr std::size_t kMostRequests = 1024;
-  /// From the last end or refusal: a caller that goes on asking keeps its request held back.
+  /// Retention time since the last event. Refusals count as events, so a request that callers keep sending stays held
+  /// back.
   static constexpr UnixMilliseconds kKeptMs = 15 * 60 * 1000;
-  /// Two reports of one back end within it are of one end; a back end takes longer to end again under the same id.
+  /// Two reports about one back end within this time are the same termination: a back end needs longer to restart and
+  /// terminate again under the same id.
   static constexpr UnixMilliseconds kSameEndMs = 2'500;
 
-  /// @return whether this is news.
+  /// Records that @p end happened while @p request was running.
+  /// @return whether this changed the stored data.
   bool record(const routing::request_fingerprint& request, const backend_end& end, UnixMilliseconds now);
-  /// A run ended well at @p at: earlier ends were others' fault.
+  /// Records that a run of @p request completed successfully at @p at. Earlier terminations are removed, since other
+  /// requests must have caused them.
   /// @return whether there were any.
   bool acquit(const routing::request_fingerprint& request, UnixMilliseconds at);
-  /// @return whether anything in @p other was news.
+  /// Adds what another node knows about a request.
+  /// @return whether this added or removed a termination.
   bool merge(const suspected_request& other, UnixMilliseconds now);
   void note_held_back(const routing::request_fingerprint& request, UnixMilliseconds now);
   void forget_old(UnixMilliseconds now);
 
-  /// @return what is known of @p request, or null.
+  /// @return the entry of @p request; null if there is none.
   const suspected_request* find(const routing::request_fingerprint& request) const;
   std::size_t ends(const routing::request_fingerprint& request) const;
   bool holds_back(const routing::request_fingerprint& request) const;
-  /// @return whether @p request has three early ends or more that others with as many have, too: one of them did it,
-  /// and
-  ///         nobody can tell yet which.
+  /// @return whether @p request has three or more early terminations that it shares with requests that have as many:
+  ///         one of these caused the terminations, but it is not known yet which.
   bool is_ambiguous(const routing::request_fingerprint& request) const;
-  /// @return the request besides @p request that shares most of its ends, if any does.
+  /// @return the other request that shares the most terminations with @p request, if any does.
   std::optional<routing::request_fingerprint> shares_most(const routing::request_fingerprint& request) const;
-  /// @return whether @p request, held back, ended another back end when it was tried once more, or five in all.
+  /// @return whether @p request is held back and has more than three terminations: another back end terminated when it
+  ///         was retried once, or five terminated in all.
   bool beyond_doubt(const routing::request_fingerprint& request) const;
   bool empty() const { return requests_.empty(); }
   std::size_t size() const { return requests_.size(); }
   std::size_t held_back() const;
-  /// @return what a node that differs is told: requests with two ends or more, and the acquitted. One end alone is told
-  ///         once and no more, since each crash puts one on everything that ran there.
+  /// @return up to @p most entries to send to a node whose digest differs: requests with two or more terminations, and
+  ///         those that completed successfully. Entries with a single termination are left out, since each crash
+  ///         creates one for every request that ran there; they are sent only once, when they are recorded.
   std::vector<suspected_request> shared(std::size_t most) const;
-  /// @return a number over the ends of requests with two or more, equal where these are; 0 without any.
+  /// @return a digest of the terminations of requests that have two or more; equal on nodes that store the same ones,
+  ///         0 without any.
   std::uint64_t digest() const;
 
  private:
-  /// With two ends or more.
+  /// @return whether @p request has two or more terminations and so is part of the digest.
   static bool is_compared(const suspected_request& request);
-  /// These and the acquitted.
+  /// @return whether @p request is sent to nodes that differ: compared entries and those that completed successfully.
   static bool is_shared(const suspected_request& request);
   static bool is_earlier(const backend_end& one, const backend_end& other);
   static bool same_end(const backend_end& one, const backend_end& other);
-  /// @return how many ends a later good run has acquitted of; they are gone.
+  /// Removes the terminations that precede the last successful run.
+  /// @return how many were removed.
   static std::size_t erase_answered(suspected_request& known);
   static std::size_t early_ends(const suspected_request& suspect);
-  /// One request and those of its early ends that none with more of them explains.
+  /// A request and those of its early terminations that no request with more of them explains.
   struct suspicion {
     const suspected_request* suspect = nullptr;
     std::vector<backend_end> left;
@@ -106,18 +119,19 @@
   };
   const verdict& judged() const;
   verdict find_guilty() const;
-  /// Adds to @p found those of @p round, which have as many ends left: guilty are those that have three by themselves.
+  /// Classifies the requests of @p round, which all have the same number of terminations left, and adds them to
+  /// @p found: those that have three which they do not share are guilty.
   static void judge(const std::vector<suspicion>& round, verdict& found);
-  /// @return what @p one has left that none of @p others has.
+  /// @return the remaining terminations of @p one that none of @p others shares.
   static std::vector<backend_end> left_alone(const suspicion& one, const std::vector<suspicion>& others);
   static void erase_shared(std::vector<backend_end>& ends, const std::vector<backend_end>& others);
   void add_beyond_chance(std::set<routing::request_fingerprint>& guilty) const;
-  /// Leaves among the ambiguous those that have three ends which no guilty one explains.
+  /// Keeps among the ambiguous requests only those with three terminations that no guilty request explains.
   void drop_explained(verdict& found) const;
   void evict_one();
 
   std::map<routing::request_fingerprint, suspected_request> requests_;
-  mutable std::optional<verdict> verdict_;  ///< None after a change.
+  mutable std::optional<verdict> verdict_;  ///< Cached result; reset by changes.
 };
 
 }  // namespace madderdeck::quarantine
--- a/src/quarantine/held_back_marks.cpp
+++ b/src/quarantine/held_back_marks.cpp
@@ -114,7 +114,7 @@
   if (!succeeded(marks)) {
     counters_["quarantine_marks_unreadable_total"]++;
     log_.record("quarantine_marks_unreadable", {{"revision", object->entry.revision}});
-    marks = std::vector<suspected_request>();  // the next mark writes it anew
+    marks = std::vector<suspected_request>();  // the next write replaces the unreadable list
   }
   const std::vector<suspected_request>& stored = value_of(marks);
   seen_.clear();
@@ -146,7 +146,7 @@
   }
   std::vector<suspected_request> marks;
   for (const request_fingerprint& request : listed) {
-    // What was too old to be taken is not known any more.
+    // Stored entries that were too old to be merged have no entry on this node, so they are dropped from the list.
     if (const std::optional<suspected_request> known = known_(request); is_held_back(known)) {
       marks.push_back(*known);
     }
@@ -167,7 +167,7 @@
   counters_["quarantine_marks_written_total"]++;
   platform_.put(request, lifetime_.guard([this, marks](const Result<std::uint64_t>& result) {
     if (!succeeded(result)) {
-      try_again(error_of(result).kind);  // reading shows whether a write whose answer was lost stands
+      try_again(error_of(result).kind);  // the retry reads first, which shows whether the write took effect
       return;
     }
     log_.record("quarantine_marked", {{"requests", marks.size()}, {"revision", value_of(result)}, {"tries", tries_}});
@@ -195,7 +195,7 @@
   environment_.after(std::min(pause, kLongestPause), lifetime_.guard([this] { ask(); }));
 }
 
-/// What came up while the last answer was on its way is written next.
+/// Requests that were added while the store was answering are written next.
 void held_back_marks::finish() {
   busy_ = false;
   writing_.clear();
--- a/src/quarantine/held_back_marks.hpp
+++ b/src/quarantine/held_back_marks.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Names the requests that are held back in the platform's store, for when all who know of them are gone.
+/// @file Stores a list of the requests that are held back in the platform's store, so that it survives the loss of all
+/// nodes that know them.
 
 #include <functional>
 #include <optional>
@@ -15,7 +16,8 @@
 
 namespace madderdeck::quarantine {
 
-/// The one object that names them: a node that starts cannot ask for requests that it does not know.
+/// Key of the single object that holds the list. A starting node does not know any fingerprints, so it could not read
+/// one object per request.
 inline constexpr char kMarksKind[] = "held-back-requests";
 inline constexpr char kMarksName[] = "list";
 
@@ -24,13 +26,14 @@
 /// @return the marks in @p body; ErrorKind::corrupted when they cannot be read.
 Result<std::vector<suspected_request>> parse_marks(const std::string& body);
 
-/// Reads the list once when the node starts, and writes a request into it once, when it is held back. A store that is
-/// away is asked again with pauses that grow, kMostTries times; nothing waits for it. Single threaded.
+/// Reads the list once when the node starts, and adds a request to it when the request is first held back. If the store
+/// is unavailable, the operation is retried up to kMostTries times with growing delays; nothing waits for it. Single
+/// threaded.
 class held_back_marks {
  public:
-  /// Takes what the list says.
+  /// Receives the entries of the list after each read.
   using take = std::function<void(const std::vector<suspected_request>&)>;
-  /// @return what this node knows of a request; nothing when that is nothing.
+  /// @return this node's entry for a request; nothing if it has none.
   using look_up = std::function<std::optional<suspected_request>(const routing::request_fingerprint&)>;
 
   /// @param platform outlives this.
@@ -39,16 +42,16 @@
 
   /// Reads the list.
   void read();
-  /// Writes @p request into the list, or takes it off when it has been acquitted.
+  /// Adds @p request to the list, or removes it if it is no longer held back.
   void write(const routing::request_fingerprint& request);
-  /// @return whether the list holds @p request, as far as this node has seen.
+  /// @return whether the list contained @p request when this node last read or wrote it.
   bool holds(const routing::request_fingerprint& request) const { return seen_.contains(request); }
 
-  /// Of about 500 bytes each; those without news for longest go first.
+  /// Maximum number of entries, of about 500 bytes each; the ones with the oldest last event are dropped first.
   static constexpr std::size_t kMostMarks = 32;
   static constexpr Duration kFirstPause = 200ms;
   static constexpr Duration kLongestPause = 60s;
-  /// With these pauses a store that is away is asked for a little less than the 15 minutes for which ends are kept.
+  /// With these delays the retries span a little less than the 15 minutes for which terminations are kept.
   static constexpr unsigned kMostTries = 20;
 
  private:
@@ -58,8 +61,9 @@
   void put(std::uint64_t revision, const std::vector<suspected_request>& marks);
   void try_again(ErrorKind kind);
   void finish();
-  /// @return @p stored with what this node knows of them and of those that are to be written.
+  /// @return the list to write: the entries of @p stored and of writing_ that are held back, as this node knows them.
   std::vector<suspected_request> renewed(const std::vector<suspected_request>& stored) const;
+  /// @return whether @p stored needs no change: it lists exactly those requests of writing_ that are held back.
   bool is_settled(const std::vector<suspected_request>& stored) const;
 
   Environment& environment_;
@@ -69,7 +73,7 @@
   const take taken_;
   const look_up known_;
   std::set<routing::request_fingerprint> to_write_;
-  std::set<routing::request_fingerprint> writing_;  ///< Of to_write_, those of the present reading.
+  std::set<routing::request_fingerprint> writing_;  ///< Moved here from to_write_ by the read in progress.
   std::set<routing::request_fingerprint> seen_;
   bool busy_ = false;
   unsigned tries_ = 0;
--- a/src/quarantine/news_delivery.cpp
+++ b/src/quarantine/news_delivery.cpp
@@ -14,7 +14,7 @@
       everyone_(std::move(everyone)),
       write_(std::move(write)),
       gives_up_(gives_up),
-      // Answers to a former life of this node name other numbers.
+      // A random start keeps late answers to an earlier process of this node from matching a number in use.
       next_number_(environment.random()) {}
 
 void news_delivery::tell(const std::vector<request_fingerprint>& requests) {
@@ -31,7 +31,7 @@
     open_.erase(open_.begin());
   }
   if (++next_number_ == 0) {
-    ++next_number_;  // 0 asks for no answer
+    ++next_number_;  // 0 means that no acknowledgement is requested
   }
   message opened;
   opened.requests = std::move(requests);
@@ -54,7 +54,7 @@
 
 bool news_delivery::is_done(const message& open) const {
   if (open.unanswered.empty()) {
-    return !open.told.empty();  // a node that has just started knows nobody yet
+    return !open.told.empty();  // a node that has just started knows no peers yet; the message waits for them
   }
   const bool only_silent = std::all_of(open.unanswered.begin(), open.unanswered.end(),
                                        [this](const PeerAddress& peer) { return silent_.contains(peer); });
--- a/src/quarantine/news_delivery.hpp
+++ b/src/quarantine/news_delivery.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Carries news of requests to the other nodes until each has said that it took it.
+/// @file Sends updates about suspected requests to the other nodes until each has acknowledged them.
 
 #include <functional>
 #include <map>
@@ -13,40 +13,42 @@
 
 namespace madderdeck::quarantine {
 
-/// Sends a datagram to every peer, and again to those that have not acknowledged it, with pauses that grow by half:
-/// nine times within 400 ms, so that of a hundred nodes on a network which loses 30 in 100 none is left out. A peer
-/// that was told many times without a word (an earlier version, which knows no acknowledgement, or one that is away) is
-/// told a few times only until it answers something. Bounded in messages, tries and time; what is left over is made
-/// good by comparing lists. Single threaded.
+/// Sends a datagram to every peer and repeats it to those that have not acknowledged it, with delays that grow by half:
+/// nine times within 400 ms, so that all of a hundred nodes receive it on a network that loses 30 of 100 datagrams. A
+/// peer that never acknowledged (an earlier version without acknowledgements, or an unreachable node) is sent only a
+/// few copies of later messages until it acknowledges one. Messages, attempts and time are bounded; updates that were
+/// not delivered are exchanged later when nodes compare their lists. Single threaded.
 class news_delivery {
  public:
-  /// @return peer addresses of all other nodes that have to know.
+  /// @return the peer addresses of all other nodes that must receive the updates.
   using peers = std::function<std::vector<PeerAddress>()>;
-  /// @return the message that says what is known of some requests at that moment.
+  /// @return a message with the current entries of the given requests. It is composed anew for each transmission.
   using compose = std::function<wire::SuspicionNewsT(const std::vector<routing::request_fingerprint>&)>;
 
-  /// @param gives_up whether news that stays unanswered is given up in the end.
+  /// @param gives_up whether a message that remains unacknowledged is abandoned after kMostTries transmissions.
   news_delivery(Environment& environment, Counters& counters, DecisionLog& log, peers everyone, compose write,
                 bool gives_up = true);
 
-  /// Tells all others of @p requests.
+  /// Sends the entries of @p requests to all other nodes.
   void tell(const std::vector<routing::request_fingerprint>& requests);
-  /// @p peer says that it took message @p number.
+  /// Handles the acknowledgement of message @p number by @p peer.
   void taken(const PeerAddress& peer, std::uint64_t number);
-  /// @return whether some peer that was told of @p request has not said that it took it.
+  /// @return whether a message about @p request has not been acknowledged by all peers yet.
   bool awaits(const routing::request_fingerprint& request) const;
 
-  /// Entries of some 300 bytes; so many stay below the size at which datagrams are cut up.
+  /// Entries per datagram. At some 300 bytes each, the datagram stays below the size at which it is fragmented.
   static constexpr std::size_t kMostInOneDatagram = 6;
-  /// A round trip between zones and the receiver's turn on a busy processor.
+  /// Delay before the first repetition: a round trip between zones plus the scheduling delay of a busy receiver.
   static constexpr Duration kFirstPause = 8ms;
-  /// To hear so many answers takes its time, too: about 0.1 ms each to send and to read.
+  /// Lower bound of the first delay per peer: sending a message and reading its answer take about 0.1 ms each.
   static constexpr Duration kPausePerPeer = 200us;
-  /// The last one 2 s after the first, below the 3 s in which nodes in touch may be behind.
+  /// Maximum number of transmissions. The last is sent 2 s after the first, within the 3 s by which connected nodes may
+  /// lag behind each other.
   static constexpr unsigned kMostTries = 13;
-  /// Of a peer that left kMostTries without an answer.
+  /// Transmissions to a peer that left all kMostTries of an earlier message unacknowledged.
   static constexpr unsigned kTriesOfSilent = 3;
-  /// Open at the same time; an engine that ends with 30 requests makes five.
+  /// Maximum number of unacknowledged messages; the oldest is dropped first. An engine that terminates with 30 requests
+  /// causes five.
   static constexpr std::size_t kMostOpen = 64;
 
  private:
@@ -61,7 +63,7 @@
 
   void tell_some(std::vector<routing::request_fingerprint> requests);
   void send(std::uint64_t number);
-  /// Peers that came up since the last try are told, too; those that are gone need not answer.
+  /// Adds peers that joined since the last transmission of @p open and removes those that left.
   void follow_peers(message& open) const;
   void forget_silent_that_left();
   bool is_done(const message& open) const;
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -7,25 +7,30 @@
 
 using routing::request_fingerprint;
 
-/// Calls that broke with one back end are told in one message.
+/// Changes within this time share one message, so that calls that broke with one back end are sent together.
 constexpr Duration kTogether = 1ms;
-/// Engines that ended under a request ended 20 to 110 ms after its run began. Most live replies take some 700 ms.
+/// A run that had produced output for this long is taken as an unlikely cause. Engines that a request crashed
+/// terminated 20 to 110 ms after its run began, and most live replies take some 700 ms.
 constexpr Duration kAdvanced = 250ms;
-/// By then the engines that ended are back, and what ran beside the request has come to its end or is suspected itself.
+/// Age of the last termination at which a held-back request may be retried. By then the terminated engines have
+/// restarted, and requests that ran beside it have completed or are suspected themselves.
 constexpr UnixMilliseconds kRetrialAfterMs = 15'000;
-/// About 20 KB.
+/// Entries per list, about 20 KB.
 constexpr std::size_t kMostInOneList = 128;
-/// Between lists: nodes that differ for good, since one has no room, shall not do nothing else.
+/// Minimum time between lists sent after a comparison. Nodes can differ permanently if one has no room for an entry;
+/// they must not exchange lists without pause.
 constexpr Duration kBetweenLists = 200ms;
-/// A node that has just started asks again after it: a list of 20 KB has come back by then.
+/// A node that has just started repeats its request for a list after this time, which suffices to receive 20 KB.
 constexpr Duration kAskAgain = 50ms;
-/// By then the comparisons have begun, and the node has found the others or has none.
+/// How long a node requests lists after its start. By then comparisons have begun, and the node has joined the fleet or
+/// is alone.
 constexpr Duration kAskFor = 5s;
-/// A node that knows nothing has asked at its start instead; what it missed comes with the others' comparisons, too.
+/// For this time after its start a node without entries starts no comparison, since it requests lists instead. It also
+/// receives missed entries through comparisons that other nodes start.
 constexpr Duration kAskedInstead = 1'400ms;
-/// What comes together is written together; a loss of power in between costs it.
+/// Delay of a write to disk, so that changes within it are written together. They are lost if power fails before.
 constexpr Duration kKeepSoon = 20ms;
-/// Apart from the keys of the ledger, which begin with other letters.
+/// Key in the node's storage. The keys of the ledger begin with other letters.
 constexpr char kStoredKey[] = "q/suspected";
 
 std::unique_ptr<wire::SuspectedRequestT> to_wire(const suspected_request& known) {
@@ -80,7 +85,7 @@
   environment_.after(kCompare, lifetime_.guard([this] { compare(); }));
 }
 
-/// The first comparison may be lost, and the node would send on what others hold back.
+/// A single comparison may be lost, and the node would then send requests that other nodes hold back.
 void request_quarantine::ask_at_start() {
   if (answered_at_start_ || !guards_.tell_others || environment_.now() - started_at_ > kAskFor) {
     return;
@@ -131,20 +136,21 @@
   }
 }
 
-/// A request that is held back and still came to a good end (a run that was under way) leaves the list again.
+/// Removes a request from the list in the platform's store after one of its runs, already under way when it was held
+/// back, completed successfully.
 void request_quarantine::unmark(const request_fingerprint& request) {
   if (marks_ && marks_->holds(request) && history_.ends(request) < end_history::kEndsToHoldBack) {
     marks_->write(request);
   }
 }
 
-/// It is written again at the next change; the other nodes with a disk have the list, too.
+/// An unreadable list is replaced at the next change; the other nodes with a disk have the list as well.
 void request_quarantine::note_unreadable(ErrorKind kind) {
   counters_["quarantine_stored_unreadable_total"]++;
   log_.record("quarantine_unreadable", {{"error", error_kind_name(kind)}});
 }
 
-/// Not with the next comparison only: all nodes may lose power before it.
+/// Does not wait for the next comparison, since all nodes may lose power before it.
 void request_quarantine::keep_soon() {
   if (storage_ == nullptr || keeps_soon_) {
     return;
@@ -164,7 +170,7 @@
   storage_->put(kStoredKey, wire::encode_record(shared_list()));
   storage_->flush(lifetime_.guard([this](const Status& flushed) {
     if (!succeeded(flushed)) {
-      kept_digest_ = 0;  // once more at the next comparison
+      kept_digest_ = 0;  // retry at the next comparison
       counters_["quarantine_not_stored_total"]++;
       log_.record("quarantine_not_stored", {{"error", error_kind_name(error_of(flushed).kind)}});
     }
@@ -280,7 +286,7 @@
   if (before || history_.ends(request) < end_history::kEndsToHoldBack) {
     return;
   }
-  // Not said before it is decided: what ran beside the request has as many ends for a moment.
+  // Wait until the request is decided: for a moment, harmless requests that ran beside it have as many terminations.
   if (const Duration wait = undecided_for(request); wait > Duration::zero()) {
     environment_.after(wait, lifetime_.guard([this, request, learned] { note_if_held_back(request, false, learned); }));
     return;
@@ -349,7 +355,7 @@
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
   take(message.requests);
   if (message.number == 0) {
-    return;  // of a node that asks for no answer
+    return;  // the sender requests no acknowledgement
   }
   wire::SuspicionTakenT taken;
   taken.number = message.number;
@@ -361,8 +367,8 @@
   delivery_.taken(sender, message.number);
 }
 
-/// A node that missed an end tells of the next one without it: it learns with the answer, not with a comparison 200 ms
-/// later.
+/// A sender whose entry has fewer terminations has missed some. The answer delivers them without waiting for a
+/// comparison, up to 200 ms later.
 void request_quarantine::answer_with_more(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
   std::vector<request_fingerprint> more;
   for (const auto& told : message.requests) {
--- a/src/quarantine/request_quarantine.hpp
+++ b/src/quarantine/request_quarantine.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file Requests that end the back ends that run them, known to all nodes that send. See docs/design/quarantine.md.
+/// @file Quarantine of requests that crash the back ends that run them, shared by all nodes that send requests. See
+/// docs/design/quarantine.md.
 
 #include <functional>
 #include <memory>
@@ -14,25 +15,25 @@
 
 namespace madderdeck::quarantine {
 
-/// Rules of the quarantine; always on in the daemon.
+/// Rules of the quarantine that tests can switch off; all are on in the daemon.
 struct quarantine_guards {
-  bool hold_back = true;      ///< A request under which three back ends have ended is not sent again.
-  bool tell_others = true;    ///< The other nodes hear of each end.
-  bool await_news = true;     ///< Nobody is judged while others may still tell of ends that explain these.
-  bool mark_in_store = true;  ///< What is held back stands in the platform's store.
-  /// News that nobody acknowledges is given up, and judged by all the same: earlier versions never acknowledge.
+  bool hold_back = true;      ///< A request under which three back ends have terminated is not sent again.
+  bool tell_others = true;    ///< Each termination is sent to the other nodes.
+  bool await_news = true;     ///< No decision is made while other nodes may still report related terminations.
+  bool mark_in_store = true;  ///< Requests that are held back are listed in the platform's store.
+  /// Unacknowledged updates are abandoned and do not delay holding a request back: earlier versions never acknowledge.
   bool bound_answers = true;
 };
 
-/// Each end is told to all nodes that send requests until each has taken it. What a node missed that was cut off,
-/// frozen or not there is made good by comparing digests with one node every kCompare, and by asking at the start. Of
-/// the platform's store it needs a reading at the start and a writing for each request that is held back; it never
-/// waits for it. Single threaded.
+/// Each termination is sent to all nodes that send requests until each has acknowledged it. A node that missed updates
+/// because it was partitioned, frozen or not running obtains them by comparing digests with one node every kCompare and
+/// by requesting a list when it starts. The platform's store is read once at the start and written for each request
+/// that is held back; nothing waits for it. Single threaded.
 class request_quarantine : public routing::repeat_guard {
  public:
-  /// @return peer addresses of all other nodes that send requests to back ends.
+  /// @return the peer addresses of all other nodes that send requests to back ends.
   using peers = std::function<std::vector<PeerAddress>()>;
-  /// @return whether a back end has said that it leaves: its end is no surprise.
+  /// @return whether a back end has announced that it is leaving, so that its termination is expected.
   using leaving = std::function<bool(const BackendId&)>;
 
   /// @param detector outlives this.
@@ -40,12 +41,12 @@
                      peers senders, leaving is_leaving, quarantine_guards guards = {});
 
   void start();
-  /// From now on what is shared is kept on this node's disk, and what stands there is taken: it outlasts the loss of
-  /// power on all machines, after which each fatal request would end three engines more. @p storage outlives this.
+  /// Loads the shared entries from @p storage and from now on keeps them there. They survive a loss of power on all
+  /// machines, after which each fatal request would otherwise crash three more engines. @p storage outlives this.
   void keep_in(ledger::Storage& storage);
-  /// From now on the requests that are held back are named in the platform's store, by nodes that saw back ends end
-  /// under them, and this node takes those that stand there: one node may know alone while all others stand still or
-  /// have lost power, and has no disk. @p platform outlives this.
+  /// Loads the list of held-back requests from the platform's store and from now on adds to it the requests under which
+  /// this node saw back ends terminate. This covers the case that a single node without a disk knows of a request while
+  /// all others are stopped or have lost power. @p platform outlives this.
   void mark_in(object_store::PlatformClient& platform);
 
   bool remembers_any() const override { return !history_.empty(); }
@@ -66,43 +67,46 @@
 
   const end_history& history() const { return history_; }
 
-  /// A node that missed news has it after two of these, within the 3 s in which nodes in touch may be behind.
+  /// Time between comparisons. A node that missed updates has them after two comparisons, within the 3 s by which
+  /// connected nodes may lag behind each other.
   static constexpr Duration kCompare = 500ms;
-  /// While there is something to compare: 15 times in those 3 s, each with two or three messages that may be lost.
+  /// Time between comparisons while this node has entries to compare: 15 in those 3 s, since each takes two or three
+  /// messages that may be lost.
   static constexpr Duration kCompareKnown = 200ms;
-  /// From the last news of a request with two ends or more: by then the others that had calls on the same back end have
-  /// looked at it (twice, 20 ms apart) and told, also when the first message is lost.
+  /// How long a request with two or more terminations stays undecided after the last change. By then the other nodes
+  /// with calls on the same back end have checked it (twice, 20 ms apart) and sent the result, also if their first
+  /// message was lost.
   static constexpr Duration kUndecided = 100ms;
-  /// The same where it is open which of several requests with the same ends did it: by then those that did not, and run
-  /// elsewhere, have come to a good end and are acquitted. Most live replies take some 700 ms, of which a part has
-  /// passed.
+  /// The same for a request that shares its terminations with others, so that the cause is ambiguous. By then most
+  /// harmless ones have completed on other back ends, which clears them. Most live replies take some 700 ms, part of
+  /// which has already passed.
   static constexpr Duration kUndecidedAmong = 500ms;
 
  private:
   void compare();
-  /// Asks one node after the other for its list until one answers.
+  /// Requests the list of a random node, repeatedly, until one answers.
   void ask_at_start();
   void record_end(const routing::broken_call& call);
-  /// What is known of @p request has changed.
+  /// Must be called after each change to the entry of @p request: starts its undecided time and has it stored.
   void note_change(const routing::request_fingerprint& request);
   void keep_soon();
   void keep();
   void note_unreadable(ErrorKind kind);
   void take_marks(const std::vector<suspected_request>& marks);
   void unmark(const routing::request_fingerprint& request);
-  /// Tells all others of @p request, together with what else comes up within kTogether.
+  /// Sends the entry of @p request to all other nodes, in one message with other changes within kTogether.
   void tell(const routing::request_fingerprint& request);
   void tell_waiting();
   wire::SuspicionNewsT news_of(const std::vector<routing::request_fingerprint>& requests) const;
-  /// Tells @p sender what it does not know of the requests that it told of.
+  /// Sends @p sender the entries of the requests in @p message for which this node knows more terminations.
   void answer_with_more(const PeerAddress& sender, const wire::SuspicionNewsT& message);
   void take(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests);
   void take(const suspected_request& told, std::string_view learned);
   wire::SuspicionSyncT shared_list() const;
   void send_shared(const PeerAddress& to, bool reply);
-  /// Says which requests are not held back any more by what has just been heard.
+  /// Logs the requests that are no longer held back after the latest change.
   void note_released();
-  /// Why @p request, with three ends, is not held back, and beside which other one.
+  /// Logs @p event with the reason why @p request is not held back and the request that shares most terminations.
   void note_verdict(std::string_view event, const routing::request_fingerprint& request, std::string_view learned);
   void note_if_held_back(const routing::request_fingerprint& request, bool before, std::string_view learned);
 
@@ -117,16 +121,16 @@
   news_delivery delivery_;
   std::vector<routing::request_fingerprint> to_tell_;
   std::map<routing::request_fingerprint, Timestamp>
-      changed_at_;  ///< Of the last kUndecidedAmong, by this node's clock.
+      changed_at_;  ///< Changes within the last kUndecidedAmong, by this node's clock.
   Timestamp started_at_{};
   bool answered_at_start_ = false;
   bool keeps_soon_ = false;
   Timestamp sent_shared_at_{};
   ledger::Storage* storage_ = nullptr;  ///< Only on nodes with a disk.
   std::uint64_t kept_digest_ = 0;
-  std::unique_ptr<held_back_marks> marks_;              ///< Only where a store is given.
-  std::set<routing::request_fingerprint> quarantined_;  ///< Said to be held back.
-  std::set<routing::request_fingerprint> saw_end_;      ///< This node saw a back end end under these.
+  std::unique_ptr<held_back_marks> marks_;              ///< Null without a platform store.
+  std::set<routing::request_fingerprint> quarantined_;  ///< Logged as held back.
+  std::set<routing::request_fingerprint> saw_end_;      ///< This node saw a back end terminate under these.
   Lifetime lifetime_;
 };
 
