--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr unsigned kNobody = 200;  ///< An address at which nobody lives.
+constexpr unsigned kNobody = 200;  ///< An address that no node uses.
 
-/// How a process of a node starts.
+/// Parameters with which a process of a node starts.
 struct Start {
   unsigned address = 0;
   std::uint64_t incarnation = 1000;
@@ -25,11 +25,11 @@
   std::vector<unsigned> remembered;  ///< Addresses.
 };
 
-/// Members over a simulated network without loss.
+/// Nodes that run only membership, connected by a simulated network without packet loss.
 class Cluster {
  public:
-  /// @param seeds of the first nodes, at which all look for the fleet.
-  /// @param in_halves cut as by cut_in_halves() from the start.
+  /// @param seeds the number of seeds; the first nodes are the seeds of all.
+  /// @param in_halves whether the network is partitioned from the start as by cut_in_halves().
   explicit Cluster(unsigned count, unsigned seeds = 1, bool in_halves = false)
       : world_(7), seeds_(seeds), in_halves_(in_halves) {
     for (unsigned number = 0; number < count; ++number) {
@@ -39,7 +39,7 @@
       node->membership.start();
     }
   }
-  /// @return a start at the node's usual address with the cluster's seeds.
+  /// @return parameters for a start at the node's usual address with the cluster's seeds.
   Start default_start(unsigned number) const {
     Start how;
     how.address = number;
@@ -47,26 +47,26 @@
     std::iota(how.seeds.begin(), how.seeds.end(), 0U);
     return how;
   }
-  /// Ends the process, if it runs, and starts another one.
+  /// Ends the node's process if it is running and starts another one.
   void restart(unsigned number, const Start& how) {
     end(number);
     restart_beside(number, how);
   }
-  /// Starts another process of the node while the former one stands still.
+  /// Starts another process of the node while the former one is frozen.
   void restart_beside(unsigned number, const Start& how) {
     ended_.push_back(std::move(nodes_[number]));
     nodes_[number] = std::make_unique<Node>(*this, number, how);
     nodes_[number]->membership.start();
   }
   void thaw_former() { ended_.back()->process.thaw(); }
-  /// Ends all processes; what they have sent arrives nowhere.
+  /// Ends all processes and lets their messages in flight expire undelivered.
   void end_all() {
     for (unsigned number = 0; number < nodes_.size(); ++number) {
       end(number);
     }
     run(1s);
   }
-  /// After end_all(): all start as usual, the last nodes as @p last tells for each.
+  /// Restarts all nodes after end_all(): the last ones with the parameters in @p last, the others with the default.
   void start_all(const std::vector<Start>& last) {
     const auto count = static_cast<unsigned>(nodes_.size());
     const unsigned first = count - static_cast<unsigned>(last.size());
@@ -86,18 +86,18 @@
     }
     return wire::MemberState::Dead;
   }
-  /// @return what node @p number told of its searches for the fleet, a line each.
+  /// @return the reports of node @p number about its searches for the fleet, one line each.
   const std::vector<std::string>& told(unsigned number) const { return nodes_[number]->told; }
   std::uint64_t messages() const { return messages_; }
-  /// @return bytes that node @p number has sent, without those of network headers.
+  /// @return the bytes that node @p number has sent, excluding network headers.
   std::uint64_t bytes_sent(unsigned number) const { return nodes_[number]->bytes; }
-  /// @return how many nodes know all others.
+  /// @return how many nodes know all other nodes as live.
   std::size_t complete_views() const {
     return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [this](const auto& node) {
       return node->membership.live_count() == nodes_.size();
     }));
   }
-  /// Nodes with odd numbers and those with even ones do not reach each other.
+  /// Partitions the network between nodes with odd and with even numbers, or heals it.
   void cut_in_halves(bool now) { in_halves_ = now; }
   CounterValue deaths() const {
     CounterValue total = 0;
@@ -188,7 +188,7 @@
     }
     Cluster& owner;
     const unsigned number;
-    const unsigned at;  ///< Of its address.
+    const unsigned at;  ///< Number of its address.
     std::uint64_t bytes = 0;
     std::vector<std::string> told;
     SimProcess process;
@@ -196,7 +196,7 @@
     Membership membership;
   };
 
-  /// @return who lives at the address; null where that is nobody.
+  /// @return the node that receives messages sent to @p address; null if there is none.
   Node* node_at(unsigned address) {
     if (address < nodes_.size() && nodes_[address]->at == address) {
       return nodes_[address].get();
@@ -216,12 +216,12 @@
   bool in_halves_;
   std::uint64_t messages_ = 0;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::vector<std::unique_ptr<Node>> ended_;  ///< What they have sent may be on its way.
+  std::vector<std::unique_ptr<Node>> ended_;  ///< Kept since their messages may still be in flight.
 };
 
 }  // namespace
 
-TEST_CASE("members find each other and nobody is called dead without a fault") {
+TEST_CASE("all members find each other and none is declared dead without a fault") {
   Cluster cluster(20);
   cluster.run(30s);
   for (unsigned node = 0; node < 20; ++node) {
@@ -230,7 +230,7 @@
   CHECK(cluster.deaths() == 0);
 }
 
-TEST_CASE("a leave is known everywhere within two seconds") {
+TEST_CASE("all members know of a leave within two seconds") {
   Cluster cluster(30);
   cluster.run(20s);
   cluster.at(3).leave();
@@ -240,7 +240,7 @@
   }
 }
 
-TEST_CASE("a crash is noticed, a thaw refuted") {
+TEST_CASE("a crashed member is declared dead, a frozen one refutes its death when it resumes") {
   Cluster cluster(8);
   cluster.run(15s);
   cluster.process(2).crash();
@@ -255,8 +255,9 @@
   }
 }
 
-TEST_CASE("a fleet that starts all at once knows itself within seconds, at bounded cost") {
-  // Scale run at 380 nodes: after a minute each node knew half of the others, and all were busy passing on updates.
+TEST_CASE("when a whole fleet starts at once, all members know each other within seconds, at bounded cost") {
+  // Guards against joins by gossip of single updates only: with 380 nodes each node then knew half of the others after
+  // a minute, and all were busy forwarding updates.
   constexpr unsigned kNodes = 120;
   Cluster cluster(kNodes);
   cluster.run(15s);
@@ -265,16 +266,16 @@
   }
   const std::uint64_t before = cluster.messages();
   cluster.run(10s);
-  // A probe and its answer a second, and little else.
+  // One probe and its ack per node and second, and little else.
   CHECK(cluster.messages() - before < kNodes * 10 * 4);
 }
 
-// Each node that starts looks for the fleet at the three seeds. Whole lists as answers, and whole lists to whoever was
-// heard first, had the seeds send and take the square of the fleet's size: at 986 nodes more than a link of 30 Mbit/s
-// carries in 20 s.
-TEST_CASE("what a seed sends while a fleet starts all at once grows with the fleet's size, not with its square") {
+// Each starting node pings the three seeds. If seeds answer with whole member lists, and nodes exchange whole lists
+// with the first peer they hear from, the seeds' traffic is quadratic in the fleet's size: with 986 nodes more than a
+// link of 30 Mbit/s carries in 20 s.
+TEST_CASE("a seed's traffic while a whole fleet starts at once is linear in the fleet's size, not quadratic") {
   constexpr unsigned kSeeds = 3;
-  constexpr std::uint64_t kBytesOfNode = 20'000;  // 25 members, a list to one or two others, answers of probes
+  constexpr std::uint64_t kBytesOfNode = 20'000;  // 25 members, a list to one or two peers, acks of probes
   for (const unsigned nodes : {100U, 300U}) {
     Cluster cluster(nodes, kSeeds);
     cluster.run(10s);
@@ -286,10 +287,10 @@
   }
 }
 
-// The whole fleet's quiet day: 30 of 851 nodes start anew, and each of their changes had nodes exchange lists of all
-// members, 94 kB each way. That was most of 8.9 GB between zones, the dearest part of the day.
-TEST_CASE("a change of one member costs a node the part of its list that differs, whatever the fleet's size") {
-  constexpr std::uint64_t kBytesOfNode = 12'000;  // probes of 5 s, digests, and some members
+// Guards against exchanges of whole member lists after each change, 94 kB each way. On a day on which 30 of 851 nodes
+// restarted, this caused most of 8.9 GB of traffic between zones, the largest cost of that day.
+TEST_CASE("after a change of one member nodes exchange only parts of their lists, whatever the fleet's size") {
+  constexpr std::uint64_t kBytesOfNode = 12'000;  // 5 s of probes, digests, and some members
   for (const unsigned nodes : {100U, 400U}) {
     Cluster cluster(nodes, 3);
     cluster.run(40s);
@@ -309,8 +310,8 @@
   }
 }
 
-TEST_CASE("a leave is not held up by other news") {
-  // Scale run at 380 nodes: a leave took 5.2 s, since joins were still being passed on.
+TEST_CASE("a leave is not delayed by other updates") {
+  // Guards against a leave queued behind joins that are still being gossiped: with 380 nodes it took 5.2 s.
   constexpr unsigned kNodes = 120;
   Cluster cluster(kNodes);
   cluster.run(8s);
@@ -321,7 +322,7 @@
   }
 }
 
-TEST_CASE("a node whose seed listens a little later joins soon after that") {
+TEST_CASE("a node whose seed starts to listen a little later joins soon after that") {
   for (const Duration late : {50ms, 150ms, 300ms}) {
     Cluster cluster(2);
     cluster.process(0).crash();
@@ -332,11 +333,11 @@
   }
 }
 
-// A fleet starts and stays in two parts for good, each with jobs, limits and news of its own. While it starts, messages
-// between the parts are lost; each node finds somebody and looks at no seed any more. Shown by the simulation with 30
-// in 100 messages lost (repeats of a fatal request, seed 508): nodes 1 and 4 hear nothing of nodes 0, 2 and 3 for the
-// whole run, no message to them is even unanswered, and three engines end for each part.
-TEST_CASE("parts of a fleet that started apart find each other") {
+// Guards against a fleet that stays split permanently, each part with its own jobs, limits and quarantine. It happens
+// if messages between the parts are lost during the start and a node that knows any member no longer pings the seeds.
+// In a simulation with 30 of 100 messages lost (repeats of a fatal request, seed 508), nodes 1 and 4 never learned of
+// nodes 0, 2 and 3, none of their messages went unanswered, and three engines crashed for each part.
+TEST_CASE("parts of a fleet that started separately find each other") {
   constexpr unsigned kNodes = 6;
   Cluster cluster(kNodes, 2, true);
   cluster.run(5s);
@@ -350,7 +351,7 @@
   }
 }
 
-TEST_CASE("a node that starts does not know the fleet until it has heard of no new member for a while") {
+TEST_CASE("a starting node does not know the fleet until it has learned of no new member for a while") {
   constexpr unsigned kNodes = 60;
   Cluster cluster(kNodes, 3);
   CHECK_FALSE(cluster.at(kNodes - 1).knows_fleet());
@@ -361,8 +362,8 @@
   }
 }
 
-// A node whose seeds answer nobody was out of the fleet for good, and no line said so.
-TEST_CASE("a node that finds nobody says so with growing pauses, and who found it") {
+// Guards against a node that stays outside the fleet because its seeds do not answer, without any log line.
+TEST_CASE("a node that finds no member reports so at growing intervals, and reports which peer ended its search") {
   Cluster cluster(3);
   cluster.process(0).crash();
   cluster.run(15s);
@@ -375,8 +376,8 @@
   CHECK(cluster.told(1)[2] == "found by seed 10.0.0.0:1");
 }
 
-// Nothing but its seeds told a node that starts where the fleet is: one whose seeds had gone was out of it for good.
-TEST_CASE("a node whose seeds are gone is found through a remembered peer") {
+// Guards against a starting node that relies on its seeds alone and never joins if they no longer exist.
+TEST_CASE("a node whose seeds are gone joins through a remembered peer") {
   constexpr unsigned kNodes = 8;
   Cluster cluster(kNodes, 2);
   cluster.end_all();
@@ -390,7 +391,7 @@
   CHECK(cluster.told(7)[0] == "found by remembered_peer 10.0.0.3:1");
 }
 
-TEST_CASE("seeds that answer are asked alone") {
+TEST_CASE("a node whose seeds answer joins through a seed before it pings remembered peers") {
   Cluster cluster(4, 2);
   cluster.run(10s);
   Start how = cluster.default_start(3);
@@ -401,13 +402,13 @@
   CHECK(cluster.told(3)[0].starts_with("found by seed"));
 }
 
-TEST_CASE("a remembered address that is another node's by now does no harm") {
+TEST_CASE("a remembered address that belongs to another node by now does no harm") {
   constexpr unsigned kNodes = 6;
   Cluster cluster(kNodes, 2);
   cluster.end_all();
   Start how = cluster.default_start(5);
   how.seeds = {kNobody};
-  how.remembered = {4};  // as the address of a node of another name
+  how.remembered = {4};  // remembered as the address of a node with another name
   cluster.start_all({how});
   cluster.run(5s);
   CHECK(cluster.complete_views() == kNodes);
@@ -418,8 +419,9 @@
   CHECK(cluster.deaths() == 0);
 }
 
-// Two that find each other by what they remember know somebody, and would look no further.
-TEST_CASE("nodes that found each other by remembered peers still look for the rest") {
+// Guards against nodes that stop pinging remembered peers once they know any member: two nodes that remember each other
+// would stay apart from the rest of the fleet.
+TEST_CASE("nodes that found each other through remembered peers still search for the rest of the fleet") {
   constexpr unsigned kNodes = 8;
   Cluster cluster(kNodes, 2);
   cluster.end_all();
@@ -435,7 +437,7 @@
   CHECK(cluster.complete_views() == kNodes);
 }
 
-TEST_CASE("a node that has lost all members finds them again by what it remembers") {
+TEST_CASE("a node that has lost all members finds a restarted one through its remembered peers") {
   constexpr unsigned kNodes = 6;
   Cluster cluster(kNodes, 2);
   Start how = cluster.default_start(5);
@@ -444,7 +446,7 @@
   cluster.restart(5, how);
   cluster.run(10s);
   REQUIRE(cluster.complete_views() == kNodes);
-  // All others are down for so long that it takes them for dead; then one comes back whose seeds have gone, too.
+  // All other nodes are down until node 5 has declared them dead; then one restarts whose seeds are gone as well.
   for (unsigned node = 0; node < 5; ++node) {
     cluster.end(node);
   }
@@ -459,7 +461,7 @@
   CHECK(cluster.at(5).live_count() == 2);
 }
 
-TEST_CASE("remembered peers are few, of all zones, and not forgotten while they are only away") {
+TEST_CASE("remembered peers are limited in number, exclude the node itself, and are kept while they are unreachable") {
   constexpr unsigned kNodes = 120;
   Cluster cluster(kNodes, 3);
   cluster.run(15s);
@@ -467,15 +469,16 @@
   std::vector<remembered_peer> before{{NodeId("away"), PeerAddress("10.0.0.250:1"), "", 15},
                                       {NodeId("moved"), PeerAddress("10.0.0.7:1"), "", 15}};
   const std::vector<remembered_peer> chosen = choose_peers(cluster.at(9), before);
-  CHECK(chosen.size() == kMostDisksRemembered + 1);  // all have a disk here
+  CHECK(chosen.size() == kMostDisksRemembered + 1);  // all nodes of this test have a disk
   CHECK(chosen.back() == before[0]);
   CHECK(std::none_of(chosen.begin(), chosen.end(), [](const auto& peer) { return peer.id.str() == "n9"; }));
   CHECK(choose_peers(cluster.at(9), chosen) == chosen);
   CHECK(choose_peers(cluster.at(8), {}) != choose_peers(cluster.at(9), {}));
 }
 
-// The incarnation is the time of day: where the clock was set back, an earlier one comes after a later one.
-TEST_CASE("a node whose clock is behind is let in with its new disk at the same address") {
+// A process takes its first incarnation from the wall clock. If the clock was set back, a restarted process begins with
+// a lower incarnation than its predecessor.
+TEST_CASE("a node whose clock is behind rejoins with its new disk at the same address") {
   constexpr unsigned kNodes = 6;
   for (const Duration away : {Duration(0), Duration(30s)}) {
     Cluster cluster(kNodes, 2);
@@ -495,7 +498,7 @@
   }
 }
 
-TEST_CASE("a node is let in at another address though its clock is behind") {
+TEST_CASE("a node whose clock is behind rejoins at another address") {
   constexpr unsigned kNodes = 6;
   constexpr unsigned kElsewhere = 100;
   for (const Duration away : {Duration(0), Duration(30s)}) {
@@ -516,8 +519,8 @@
   }
 }
 
-// Both have heard that the former process is dead, and each tells the fleet that it is not.
-TEST_CASE("of two processes of a name the later one is known to all when the former wakes") {
+// Both processes receive the update that declares the former one dead, and each refutes it.
+TEST_CASE("of two processes with one name all members know the later one after the former resumes") {
   constexpr unsigned kNodes = 6;
   constexpr unsigned kElsewhere = 100;
   Cluster cluster(kNodes, 2);
--- a/tests/quarantine/end_detector_test.cpp
+++ b/tests/quarantine/end_detector_test.cpp
@@ -27,20 +27,20 @@
 
 }  // namespace
 
-TEST_CASE("calls that broke together share one question about the back end") {
+TEST_CASE("calls that break together share one check of the back end") {
   detector_fixture fixture;
   fixture.breaks("engine-1");
   fixture.breaks("engine-1");
   REQUIRE(fixture.backends.checks.size() == 1);
   fixture.backends.checks[0].done(reachability::refused);
   CHECK(fixture.verdicts == std::vector<bool>{true, true});
-  fixture.breaks("engine-1");  // a little later, of the same end
+  fixture.breaks("engine-1");  // reported a little later, caused by the same termination
   CHECK(fixture.backends.checks.size() == 1);
   CHECK(fixture.verdicts.size() == 3);
   CHECK(fixture.counters["backend_ends_seen_total"] == 1);
 }
 
-TEST_CASE("a back end that takes connections or says nothing has not ended") {
+TEST_CASE("a back end that accepts connections or does not answer has not terminated") {
   detector_fixture fixture;
   fixture.breaks("engine-1");
   fixture.backends.checks.at(0).done(reachability::listening);
@@ -51,11 +51,11 @@
   fixture.breaks("engine-2");
   fixture.environment.world.run_for(end_detector::kPatience);
   CHECK(fixture.verdicts == std::vector<bool>{false, false});
-  fixture.backends.checks.at(2).done(reachability::refused);  // too late to tell which end it is
+  fixture.backends.checks.at(2).done(reachability::refused);  // too late to attribute it to a termination
   CHECK(fixture.verdicts.size() == 2);
 }
 
-TEST_CASE("an end is not remembered longer than a back end needs to start again") {
+TEST_CASE("a termination is not remembered longer than a back end needs to restart") {
   detector_fixture fixture;
   fixture.breaks("engine-1");
   fixture.backends.checks.at(0).done(reachability::refused);
@@ -64,11 +64,11 @@
   CHECK(fixture.backends.checks.size() == 2);
 }
 
-// Symptom: a request ended eight engines instead of three. Sequence: the engine's connections were reset, the gateway
-// asked its address for a connection and got one, a millisecond later another gateway was refused. Cause: a process
-// that ends closes what it has open one after the other. Evidence: 'backend_checked' says 'listening' and 'refused' of
-// one end.
-TEST_CASE("a back end that still takes a connection while it ends has ended") {
+// Guards against a request that crashes eight engines instead of three. A terminating process closes its sockets one
+// after the other: its connections were reset, a gateway could still connect to its address, and a millisecond later
+// another gateway was refused. The log event 'backend_checked' then shows both 'listening' and 'refused' for one
+// termination.
+TEST_CASE("a back end that still accepts a connection while it terminates has terminated") {
   detector_fixture fixture;
   fixture.breaks("engine-1");
   fixture.backends.checks.at(0).done(reachability::listening);
@@ -79,10 +79,10 @@
   CHECK(fixture.verdicts == std::vector<bool>{true});
 }
 
-// The connection of a call breaks by itself, the engine goes on with the request and ends by it 20 to 110 ms later; it
-// was asked only while it still took connections, so the end was not counted. Inferred from an earlier finding (seven
-// ends, four seen); its schedule was not traced again.
-TEST_CASE("a back end that ends a moment after a connection to it broke is noticed") {
+// Guards against a termination that is not counted: the connection of a call breaks for another reason, the engine
+// continues to run the request and crashes from it 20 to 110 ms later, after the checks have found it listening. This
+// is the likely cause of a run in which only four of seven terminations were counted.
+TEST_CASE("a back end that terminates shortly after a connection to it broke is detected") {
   detector_fixture fixture;
   std::vector<std::string> late;
   fixture.detector.on_late_end = [&late](const routing::broken_call& call) { late.push_back(call.id); };
@@ -90,14 +90,14 @@
   fixture.backends.checks.at(0).done(reachability::listening);
   fixture.environment.world.run_for(end_detector::kSecondLook);
   fixture.backends.checks.at(1).done(reachability::listening);
-  CHECK(fixture.verdicts == std::vector<bool>{false});  // the call goes on at once
+  CHECK(fixture.verdicts == std::vector<bool>{false});  // the call need not wait for the late check
   fixture.environment.world.run_for(end_detector::kLateLook);
   REQUIRE(fixture.backends.checks.size() == 3);
-  SECTION("it has ended") {
+  SECTION("it has terminated") {
     fixture.backends.checks.at(2).done(reachability::refused);
     CHECK(late == std::vector<std::string>{"r1"});
   }
-  SECTION("it goes on, and is not asked again") {
+  SECTION("it still runs, and is not checked again") {
     fixture.backends.checks.at(2).done(reachability::listening);
     fixture.environment.world.run_for(5s);
     CHECK(late.empty());
--- a/tests/quarantine/end_history_test.cpp
+++ b/tests/quarantine/end_history_test.cpp
@@ -35,13 +35,13 @@
     history.record(kRequest, end_of(1, at), kNow + 50);
   }
   CHECK(history.ends(kRequest) == 1);
-  // Where a back end keeps its id, its next end is later.
+  // A back end that restarts under the same id terminates again only after kSameEndMs.
   CHECK(history.record(kRequest, end_of(1, kNow + end_history::kSameEndMs + 1), kNow + 5'000));
   CHECK(history.ends(kRequest) == 2);
 }
 
-// Two nodes have calls on the engine that ends and date its end by their own clocks. Each keeps what it heard first, so
-// a sum over the times would differ for good, and lists would go to and fro.
+// Two nodes with calls on an engine that terminates record the time by their own clocks. If each kept the time that it
+// learned first, their digests would differ permanently and they would exchange lists without end.
 TEST_CASE("nodes that date one end differently agree once they have told each other") {
   end_history left;
   end_history right;
@@ -75,10 +75,10 @@
   }
   CHECK(history.acquit(kRequest, kNow + 20));
   CHECK_FALSE(history.holds_back(kRequest));
-  CHECK_FALSE(history.record(kRequest, end_of(4, kNow + 15), kNow + 30));  // heard late
+  CHECK_FALSE(history.record(kRequest, end_of(4, kNow + 15), kNow + 30));  // reported late
   CHECK(history.record(kRequest, end_of(5, kNow + 25), kNow + 30));
   CHECK(history.ends(kRequest) == 1);
-  CHECK_FALSE(history.acquit({7, 7}, kNow));  // nothing is kept of requests that nobody suspects
+  CHECK_FALSE(history.acquit({7, 7}, kNow));  // no entry is created for a request that is not suspected
   CHECK(history.size() == 1);
 }
 
@@ -88,9 +88,9 @@
   end_history history;
   for (unsigned backend = 1; backend <= 3; ++backend) {
     history.record(kFatal, end_of(backend, kNow + backend), kNow + 10);
-    history.record(kBeside, end_of(backend, kNow + backend + 2), kNow + 10);  // as another node saw it
+    history.record(kBeside, end_of(backend, kNow + backend + 2), kNow + 10);  // time reported by another node
   }
-  // Nobody can tell yet which of the two it is.
+  // It is not known yet which of the two is fatal.
   CHECK_FALSE(history.holds_back(kFatal));
   CHECK_FALSE(history.holds_back(kBeside));
   SECTION("the one that ends a fourth back end alone") {
@@ -125,9 +125,10 @@
   }
 }
 
-// An innocent batch item fails for good: it ran beside two fatal requests and a third one, on five engines that ended
-// within six seconds. It has as many early ends as each of them, so it seemed to explain theirs, and five of any kind
-// were enough whoever else was there. Shown by hardening schedule 360 of a trial, times and engines as here.
+// Guards against holding back a harmless batch item that ran beside two fatal requests and a third one, on five engines
+// that terminated within six seconds. It has as many early terminations as each fatal request, so it seemed to explain
+// theirs, and five of any kind used to suffice regardless of the others. Times and engines are those of hardening
+// schedule 360, in which this happened.
 TEST_CASE("what ran beside several fatal requests is not held back for what each of them did") {
   constexpr request_fingerprint kOne{1, 1};
   constexpr request_fingerprint kOther{2, 2};
@@ -168,7 +169,7 @@
       mixed.record(kRequest, {BackendId(std::to_string(backend)), kNow, backend > 2}, kNow);
     }
     CHECK_FALSE(mixed.holds_back(kRequest));
-    // A copy of the request had just begun at the third.
+    // A second copy of the request had just begun on the third back end.
     CHECK(mixed.record(kRequest, {BackendId("3"), kNow, false}, kNow));
     CHECK(mixed.holds_back(kRequest));
   }
@@ -190,7 +191,8 @@
   CHECK(history.holds_back(kRequest));
   history.forget_old(kNow + 2 * end_history::kKeptMs + 1);
   CHECK(history.empty());
-  CHECK_FALSE(history.record(kRequest, end_of(1, kNow), kNow + end_history::kKeptMs + 1));  // a peer still has it
+  CHECK_FALSE(history.record(kRequest, end_of(1, kNow),
+                             kNow + end_history::kKeptMs + 1));  // reported by a peer that still has it
 }
 
 TEST_CASE("thousands of other requests do not push out one that is held back, nor grow without bound") {
@@ -212,7 +214,7 @@
     end_history right;
     for (const auto& [which, backend] : events) {
       end_history& one = which % 2 == 0 ? left : right;
-      // Ends at other back ends, well apart: which of two reports of one end came first makes no difference then.
+      // Terminations of different back ends, far apart in time, so that no two reports are taken for one termination.
       const UnixMilliseconds at = kNow + backend * 10'000ULL;
       if (which % 8 >= 6) {
         one.acquit({which / 64U, 0}, at + 1);
--- a/tests/quarantine/held_back_marks_test.cpp
+++ b/tests/quarantine/held_back_marks_test.cpp
@@ -1,5 +1,5 @@
-// The list of held-back requests in the platform's store: written once for each, read at the start, and nothing waits
-// for a store that is away.
+// Tests the list of held-back requests in the platform's store: it is written once for each request and read at the
+// start, and nothing waits for a store that is unavailable.
 #include "quarantine/held_back_marks.hpp"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A store that may be away, whose answers may be lost, and that counts what it is asked.
+/// A store that can be made unavailable or to lose answers, and that counts reads and writes.
 class counted_store : public object_store::PlatformClient {
  public:
   explicit counted_store(TestEnvironment& environment) : table(environment), environment_(environment) {}
@@ -61,7 +61,7 @@
   return known;
 }
 
-/// A node that knows some requests.
+/// A node with held_back_marks and a table of the suspected requests that it knows.
 struct marking_node {
   marking_node(TestEnvironment& environment, counted_store& store)
       : marks(
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-TEST_CASE("a request that is held back is read by a node that starts") {
+TEST_CASE("a starting node reads the requests that are held back") {
   marks_fixture fixture;
   fixture.one.hold_back(fixture.fatal);
   fixture.run_for(1s);
@@ -117,7 +117,7 @@
   CHECK(fixture.store.writes == 1);
 }
 
-TEST_CASE("several nodes that hold one request back write it once") {
+TEST_CASE("a request that several nodes hold back is written once") {
   marks_fixture fixture;
   fixture.one.hold_back(fixture.fatal);
   fixture.run_for(1s);
@@ -136,16 +136,16 @@
   CHECK(fixture.store.writes == 3);
 }
 
-TEST_CASE("what comes up while the store answers is written next") {
+TEST_CASE("a request that is added while the store answers is written next") {
   marks_fixture fixture;
   fixture.one.hold_back(fixture.fatal);
-  fixture.run_for(1500us);  // read, not written yet
+  fixture.run_for(1500us);  // the read is done, the write is not
   fixture.one.hold_back(with_ends("another body", 1'000));
   fixture.run_for(10s);
   CHECK(fixture.listed().size() == 2);
 }
 
-TEST_CASE("a lost answer is settled by reading") {
+TEST_CASE("after a lost answer to a write a read shows that the list holds the request") {
   marks_fixture fixture;
   fixture.store.lose_answers = 1;
   fixture.one.hold_back(fixture.fatal);
@@ -155,7 +155,7 @@
   CHECK(fixture.store.reads == 2);
 }
 
-TEST_CASE("a store that is away for minutes is written to when it is back, and asked a bounded number of times") {
+TEST_CASE("a store that is unavailable for minutes is retried a bounded number of times and written when it is back") {
   marks_fixture fixture;
   fixture.store.away = true;
   fixture.one.hold_back(fixture.fatal);
@@ -166,7 +166,7 @@
   CHECK(fixture.listed().size() == 1);
 }
 
-TEST_CASE("a store that stays away is given up, and asked anew with the next request") {
+TEST_CASE("retries end if the store stays unavailable, and the next request starts them anew") {
   marks_fixture fixture;
   fixture.store.away = true;
   fixture.one.hold_back(fixture.fatal);
@@ -179,7 +179,7 @@
   CHECK(fixture.listed().size() == 1);
 }
 
-TEST_CASE("a request that came to a good end leaves the list") {
+TEST_CASE("a request that is no longer held back is removed from the list") {
   marks_fixture fixture;
   fixture.one.hold_back(fixture.fatal);
   fixture.one.hold_back(with_ends("another body", 1'000));
@@ -192,7 +192,7 @@
   CHECK(fixture.listed().front().request != fixture.fatal.request);
 }
 
-TEST_CASE("a list that cannot be read is told and written anew") {
+TEST_CASE("an unreadable list is counted and replaced by the next write") {
   marks_fixture fixture;
   object_store::PutRequest damaged;
   damaged.key = {kMarksKind, kMarksName};
@@ -206,7 +206,7 @@
   CHECK(fixture.listed().size() == 1);
 }
 
-TEST_CASE("a list of marks that is full keeps those with the latest news") {
+TEST_CASE("a full list keeps the requests with the latest events") {
   marks_fixture fixture;
   for (unsigned number = 0; number < 2 * held_back_marks::kMostMarks; ++number) {
     fixture.one.hold_back(with_ends("body " + std::to_string(number), 1'000 + number));
--- a/tests/quarantine/news_delivery_test.cpp
+++ b/tests/quarantine/news_delivery_test.cpp
@@ -1,4 +1,4 @@
-// News that is told until it has been taken: how often, to whom, and when it is given up.
+// Tests how often updates are sent until they are acknowledged, to which peers, and when they are abandoned.
 #include "quarantine/news_delivery.hpp"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Peers that answer nothing by themselves.
+/// Peers that send no acknowledgements unless the test does so for them.
 struct delivery_fixture {
   std::vector<PeerAddress> peers{PeerAddress("one"), PeerAddress("two")};
   tests::TestEnvironment environment;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("news goes out again until each peer has taken it, and not to those that have") {
+TEST_CASE("an update is repeated to each peer until that peer has acknowledged it") {
   delivery_fixture fixture;
   fixture.delivery.tell({kRequest});
   REQUIRE(fixture.numbers_to("one").size() == 1);
@@ -56,7 +56,7 @@
   CHECK(fixture.environment.sent.size() == sent);
 }
 
-TEST_CASE("a peer that never answers costs a bounded number of messages, fewer the next time") {
+TEST_CASE("a peer that never acknowledges is sent a bounded number of messages, fewer for the next update") {
   delivery_fixture fixture;
   fixture.delivery.tell({kRequest});
   fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one")[0]);
@@ -67,7 +67,7 @@
   fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one").back());
   fixture.environment.world.run_for(10s);
   CHECK(fixture.numbers_to("two").size() == news_delivery::kMostTries + news_delivery::kTriesOfSilent);
-  SECTION("until it answers something") {
+  SECTION("until it acknowledges any message") {
     fixture.delivery.taken(PeerAddress("two"), 0);
     fixture.delivery.tell({kRequest});
     fixture.environment.world.run_for(10s);
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_CASE("a node that knows nobody yet tells those it finds") {
+TEST_CASE("a node that knows no peers yet sends the update to those it finds later") {
   delivery_fixture fixture;
   fixture.peers.clear();
   fixture.delivery.tell({kRequest});
@@ -86,7 +86,7 @@
   CHECK_FALSE(fixture.numbers_to("one").empty());
 }
 
-TEST_CASE("what many calls bring is split below the size of a datagram, and open messages are bounded") {
+TEST_CASE("updates about many requests are split into datagrams, and unacknowledged messages are bounded") {
   delivery_fixture fixture;
   std::vector<request_fingerprint> many;
   for (std::uint64_t request = 0; request < news_delivery::kMostInOneDatagram * 2 + 1; ++request) {
--- a/tests/quarantine/request_quarantine_test.cpp
+++ b/tests/quarantine/request_quarantine_test.cpp
@@ -1,4 +1,4 @@
-// How news of ends spreads over many nodes, over a network that loses, repeats and delays.
+// Tests how reports of terminations spread to many nodes over a network that loses, duplicates and delays messages.
 #include "quarantine/request_quarantine.hpp"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Nodes with nothing but the quarantine.
+/// Nodes that run only the quarantine.
 class spread_fixture {
  public:
   explicit spread_fixture(unsigned count, unsigned loss_percent = 0) : loss_percent_(loss_percent) {
@@ -25,13 +25,13 @@
     }
   }
 
-  /// A call to @p backend breaks at node @p number; the back end has ended.
+  /// Breaks a call from node @p number to @p backend; the node's check finds that the back end has terminated.
   void ends(unsigned number, const std::string& backend) {
     node& at = *nodes[number];
     at.quarantine.call_broke({request, "r", BackendId(backend)}, [](bool) {});
     at.backends.checks.back().done(reachability::refused);
   }
-  /// One more node starts, cut off from all others.
+  /// Starts one more node, disconnected from all others.
   void add_node_cut_off() {
     nodes.push_back(std::make_unique<node>(*this, static_cast<unsigned>(nodes.size())));
     nodes.back()->cut = true;
@@ -45,12 +45,12 @@
     }
     return count;
   }
-  /// Messages to and from @p number are lost.
+  /// Sets whether all messages to and from node @p number are lost.
   void cut_off(unsigned number, bool now) { nodes[number]->cut = now; }
   std::size_t messages() const { return messages_; }
 
   struct node;
-  /// One node's clock and network.
+  /// Clock and network of one node.
   class network : public Environment {
    public:
     network(spread_fixture& fixture, unsigned self) : fixture_(fixture), self_(self) {}
@@ -129,7 +129,7 @@
 
 }  // namespace
 
-TEST_CASE("three ends at three nodes hold a request back everywhere within milliseconds, in small and large fleets") {
+TEST_CASE("three terminations seen by three nodes hold a request back on all nodes within milliseconds") {
   for (const unsigned count : {8U, 50U, 250U}) {
     INFO(count << " nodes");
     spread_fixture fixture(count);
@@ -145,9 +145,10 @@
   }
 }
 
-// News of an end was told once. Where that one message was lost, and the request came again before the nodes compared
-// 500 ms later, a fourth back end ended under it (send 300 ms after the third end, to a node without the news).
-TEST_CASE("news of an end whose first telling is lost is known long before the nodes compare") {
+// Guards against a report that is sent only once. If that message is lost, and the request is sent again 300 ms after
+// the third termination by a node without the report, before the nodes compare after 500 ms, it crashes a fourth back
+// end.
+TEST_CASE("a report whose first transmission is lost arrives long before the nodes compare") {
   spread_fixture fixture(8);
   for (unsigned end = 0; end < 3; ++end) {
     for (unsigned number = 3; number < 8; ++number) {
@@ -163,10 +164,10 @@
   CHECK(fixture.holding_back() == 8);
 }
 
-// Both tellings of an end are lost to some nodes (they are cut off for 60 ms); the request comes again 100 ms later at
-// one of them, which sends it to a fourth back end, since it hears of the end only when the nodes compare, up to 500 ms
-// later.
-TEST_CASE("news of an end is told until it has been taken") {
+// Guards against a report that is sent only twice. Nodes that are disconnected for 60 ms miss both transmissions; if
+// the request arrives at one of them 100 ms later, it is sent to a fourth back end, since that node learns of the
+// termination only when the nodes compare, up to 500 ms later.
+TEST_CASE("a report is repeated until it has been acknowledged") {
   spread_fixture fixture(8);
   for (unsigned end = 0; end < 3; ++end) {
     for (unsigned number = 3; number < 8; ++number) {
@@ -182,9 +183,10 @@
   CHECK(fixture.holding_back() == 8);
 }
 
-// Two nodes that were apart know two ends of a request each, four in all. What they compare is a sum over the number of
-// ends, which is the same on both, so neither sends its list and the request runs on.
-TEST_CASE("nodes that know different ends of a request tell each other") {
+// Guards against a digest over the number of terminations only. Two nodes that were partitioned know two different
+// terminations of a request each, four in all. Their digests would be equal, so neither would send its list and the
+// request would not be held back.
+TEST_CASE("nodes that know different terminations of a request exchange them") {
   spread_fixture fixture(2);
   fixture.cut_off(0, true);
   fixture.cut_off(1, true);
@@ -199,9 +201,9 @@
   CHECK(fixture.holding_back() == 2);
 }
 
-// A node that has just started knows nothing. It compares with one other node at once; where that message is lost (the
-// node has no links for its first 30 ms) it asks again 500 ms later only, and sends on what comes to it until then.
-TEST_CASE("a node that has just started asks what is held back") {
+// Guards against a node that compares once at its start and next after 500 ms. If the first message is lost (here the
+// node is disconnected for its first 30 ms), it sends held-back requests to back ends until then.
+TEST_CASE("a node that has just started requests the list of held-back requests repeatedly") {
   spread_fixture fixture(20);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(end, "engine-" + std::to_string(end));
@@ -214,9 +216,10 @@
   CHECK(fixture.holding_back() == 21);
 }
 
-// Callers go on asking for a request for longer than ends are kept, so it stays held back; a node that starts then is
-// told of it, takes none of its ends, for they are older, and sends it to one more back end.
-TEST_CASE("a node that starts takes what is held back though its ends are older than they are kept without refusals") {
+// Guards against a starting node that discards old terminations of a request that is still refused. Callers keep
+// sending the request for longer than terminations are kept, so it stays held back; the new node would send it to one
+// more back end.
+TEST_CASE("a starting node accepts a held-back request whose terminations are older than they are kept otherwise") {
   spread_fixture fixture(4);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(end, "engine-" + std::to_string(end));
@@ -233,7 +236,7 @@
   CHECK(fixture.holding_back() == 5);
 }
 
-TEST_CASE("what was lost on the way is made good by comparing") {
+TEST_CASE("reports reach all nodes on a network that loses 30 of 100 messages") {
   spread_fixture fixture(50, 30);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(end, "engine-" + std::to_string(end));
@@ -243,7 +246,7 @@
   CHECK(fixture.holding_back() == 50);
 }
 
-TEST_CASE("a node that was cut off knows within the time in which nodes are in touch again") {
+TEST_CASE("a node that was disconnected has all reports two comparisons after it is connected again") {
   spread_fixture fixture(50);
   fixture.cut_off(7, true);
   for (unsigned end = 0; end < 3; ++end) {
@@ -256,18 +259,18 @@
   CHECK(fixture.holding_back() == 50);
 }
 
-TEST_CASE("the third end is not lost with the node that saw it") {
+TEST_CASE("the report of the third termination survives the node that saw it") {
   spread_fixture fixture(50);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(end, "engine-" + std::to_string(end));
     fixture.run_for(2ms);
   }
-  fixture.cut_off(2, true);  // it dies 2 ms after it saw the third
+  fixture.cut_off(2, true);  // the node crashes 2 ms after it saw the third termination
   fixture.run_for(5ms);
   CHECK(fixture.holding_back() == 50);
 }
 
-TEST_CASE("clocks that differ by two seconds change nothing") {
+TEST_CASE("a request is held back on all nodes although their clocks differ by two seconds") {
   spread_fixture fixture(20);
   for (unsigned number = 0; number < 20; ++number) {
     fixture.nodes[number]->environment.skew_ms = number * 100;
@@ -279,19 +282,19 @@
   CHECK(fixture.holding_back() == 20);
 }
 
-TEST_CASE("a run that ends well anywhere acquits everywhere") {
+TEST_CASE("a successful run on any node releases the request on all nodes") {
   spread_fixture fixture(50);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(end, "engine-" + std::to_string(end));
     fixture.run_for(5ms);
   }
   REQUIRE(fixture.holding_back() == 50);
-  fixture.nodes[30]->quarantine.call_answered(fixture.request);  // one that was under way
+  fixture.nodes[30]->quarantine.call_answered(fixture.request);  // by a run that was already under way
   fixture.run_for(5ms);
   CHECK(fixture.holding_back() == 0);
 }
 
-TEST_CASE("the end of a back end that leaves is nobody's fault") {
+TEST_CASE("the termination of a leaving back end is not recorded for any request") {
   spread_fixture fixture(3);
   for (unsigned end = 0; end < 4; ++end) {
     fixture.ends(0, "leaving-" + std::to_string(end));
@@ -299,7 +302,7 @@
   CHECK(fixture.nodes[0]->quarantine.history().empty());
 }
 
-TEST_CASE("what is held back is read from the disk at the start, and damage is told") {
+TEST_CASE("held-back requests are read from the disk at the start, and a corrupted record is counted") {
   simulation::World world(1);
   simulation::SimProcess process(world);
   process.start();
@@ -320,9 +323,10 @@
   CHECK(damaged.nodes[0]->counters["quarantine_stored_unreadable_total"] == 1);
 }
 
-// An innocent request runs on three back ends that a fatal one ends. Its own node has seen all three, the other one's
-// third end is told 2 ms later: until then the innocent one alone has three.
-TEST_CASE("nobody is judged while the other nodes may still tell who ran there besides") {
+// A harmless request runs on three back ends that a fatal one crashes. The node that sent the harmless one has seen all
+// three terminations, while the report of the fatal one's third arrives 2 ms later. Until then only the harmless one
+// has three.
+TEST_CASE("no request is held back while other nodes may still report which other requests ran on its back ends") {
   spread_fixture fixture(4);
   const request_fingerprint beside = fingerprint_of({"tenant", "POST", "/path", "another body"});
   request_quarantine& judge = fixture.nodes[1]->quarantine;
@@ -341,18 +345,19 @@
   CHECK(judge.undecided_for(beside) == request_quarantine::kUndecided);
   fixture.run_for(20ms);
   fixture.ends(0, "engine-2");
-  fixture.ends(0, "engine-3");  // the second try of that call
+  fixture.ends(0, "engine-3");  // the second attempt of that call
   fixture.run_for(request_quarantine::kUndecided + 10ms);
   CHECK(judge.undecided_for(beside) == Duration::zero());
   CHECK_FALSE(judge.holds_back(beside, "innocent"));
-  CHECK(fixture.nodes[1]->counters["quarantine_begun_total"] == 1);  // of the fatal one
+  CHECK(fixture.nodes[1]->counters["quarantine_begun_total"] == 1);  // only the fatal one
   CHECK(judge.holds_back(fixture.request, "fatal"));
 }
 
-// A fatal request and an innocent one run on the same three engines, so neither is known to have done it. After 100 ms
-// both were sent again, and a fourth engine ended; with five both were held back for good. Shown by seed 512 at 200 ms
-// between repeats (sent at 7412 ms, 10 ms after the innocent one's good run that decided it) and seed 2 at 100 ms.
-TEST_CASE("where two requests have the same ends, both wait for what decides between them") {
+// A fatal request and a harmless one run on the same three engines, so it is not known which one crashed them. Guards
+// against sending both again after 100 ms, which crashed a fourth engine; with five terminations both were held back
+// permanently. Seen in the simulation with seed 512 at 200 ms between repeats (sent at 7412 ms, 10 ms after the
+// harmless one's successful run that decided it) and with seed 2 at 100 ms.
+TEST_CASE("two requests with the same terminations both wait for an event that decides between them") {
   spread_fixture fixture(2);
   const request_fingerprint beside = fingerprint_of({"tenant", "POST", "/path", "another body"});
   request_quarantine& judge = fixture.nodes[0]->quarantine;
@@ -364,22 +369,22 @@
   fixture.run_for(request_quarantine::kUndecided + 50ms);
   CHECK(judge.undecided_for(fixture.request) > Duration::zero());
   CHECK(judge.undecided_for(beside) > Duration::zero());
-  SECTION("one comes to a good end") {
+  SECTION("one of them completes successfully") {
     judge.call_answered(beside);
     CHECK(judge.undecided_for(fixture.request) == Duration::zero());
     CHECK(judge.holds_back(fixture.request, "fatal"));
     CHECK_FALSE(judge.holds_back(beside, "innocent"));
   }
-  SECTION("nothing more is heard") {
+  SECTION("no further report arrives") {
     fixture.run_for(request_quarantine::kUndecidedAmong);
     CHECK(judge.undecided_for(beside) == Duration::zero());
     CHECK_FALSE(judge.holds_back(beside, "innocent"));
   }
 }
 
-// All nodes lose power 60 ms after the third end. The list goes to the disk with the next comparison only, up to 500 ms
-// after the end, so it is gone and three more engines end.
-TEST_CASE("what is held back is on the disk before the next comparison") {
+// Guards against a list that is stored only at the next comparison, up to 500 ms after the third termination. If all
+// nodes lose power 60 ms after it, the list is lost and three more engines crash.
+TEST_CASE("held-back requests are on the disk before the next comparison") {
   simulation::World world(1);
   simulation::SimProcess process(world);
   process.start();
@@ -398,9 +403,9 @@
   CHECK(restarted.holding_back() == 1);
 }
 
-TEST_CASE("a quiet fleet compares one digest a node and period") {
+TEST_CASE("in an idle fleet each node sends one digest per comparison period") {
   spread_fixture fixture(50);
   fixture.run_for(10s);
-  // Two a second for each node, of some 100 bytes.
+  // Two per second from each node, of some 100 bytes.
   CHECK(fixture.messages() <= 50 * 21);
 }
