--- a/src/membership/fleet_search.cpp
+++ b/src/membership/fleet_search.cpp
@@ -18,18 +18,18 @@
   active_ = true;
   at_start_ = at_start;
   began_at_ = now;
-  pause_ = kFirstWord;
-  next_word_ = now + pause_;
+  report_interval_ = kFirstReportDelay;
+  next_report_ = now + report_interval_;
   seeds_asked = 0;
   remembered_asked = 0;
 }
 
-bool fleet_search::take_word(Timestamp now) {
-  if (!active_ || now < next_word_) {
+bool fleet_search::take_due_report(Timestamp now) {
+  if (!active_ || now < next_report_) {
     return false;
   }
-  pause_ = std::min(2 * pause_, kLongestPause);
-  next_word_ = now + pause_;
+  report_interval_ = std::min(2 * report_interval_, kMaxReportInterval);
+  next_report_ = now + report_interval_;
   return true;
 }
 
--- a/src/membership/fleet_search.hpp
+++ b/src/membership/fleet_search.hpp
@@ -27,22 +27,22 @@
   bool active() const { return active_; }
   bool at_start() const { return at_start_; }
   Duration alone(Timestamp now) const { return now - began_at_; }
-  /// @return whether a report of the ongoing search is due: first after kFirstWord, then at intervals that double up to
-  /// kLongestPause. If so, the next report is scheduled; the caller is expected to emit this one.
-  bool take_word(Timestamp now);
+  /// @return whether a report of the ongoing search is due: first after kFirstReportDelay, then at intervals that
+  /// double up to kMaxReportInterval. If so, the next report is scheduled; the caller is expected to emit this one.
+  bool take_due_report(Timestamp now);
 
   std::size_t seeds_asked = 0;       ///< Pings sent to seeds during this search.
   std::size_t remembered_asked = 0;  ///< Pings sent to peers read from the disk during this search.
 
-  static constexpr Duration kFirstWord = 3s;
-  static constexpr Duration kLongestPause = 10min;
+  static constexpr Duration kFirstReportDelay = 3s;
+  static constexpr Duration kMaxReportInterval = 10min;
 
  private:
   bool active_ = false;
   bool at_start_ = false;
   Timestamp began_at_{};
-  Timestamp next_word_{};
-  Duration pause_{};
+  Timestamp next_report_{};
+  Duration report_interval_{};
 };
 
 }  // namespace madderdeck::membership
--- a/src/membership/member_lists.cpp
+++ b/src/membership/member_lists.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr std::size_t kParts = 64;
+constexpr std::size_t kListParts = 64;
 
-std::size_t part_of(const std::string& id) { return stable_hash(id) % kParts; }
+std::size_t part_of(const std::string& id) { return stable_hash(id) % kListParts; }
 
 }  // namespace
 
@@ -37,11 +37,11 @@
   }
   last_sync_ = environment_.now();
   sync_interval_ = std::clamp(sync_interval_ * 2, options_.least_sync_interval, options_.most_sync_interval);
-  send_digests(list_partner(sender), true);
+  send_digests(choose_sync_peer(sender), true);
 }
 
 std::vector<std::uint64_t> Membership::part_digests() const {
-  std::vector<std::uint64_t> digests(kParts);
+  std::vector<std::uint64_t> digests(kListParts);
   digests[part_of(self_.id)] ^= digest_of(self_);
   for (const auto& [node, entry] : members_) {
     digests[part_of(entry.member.id)] ^= digest_of(entry.member);
@@ -58,7 +58,7 @@
 }
 
 void Membership::handle(const PeerAddress& sender, const wire::MemberDigestsT& message) {
-  if (message.parts.size() != kParts) {
+  if (message.parts.size() != kListParts) {
     send_whole_list(sender, true);  // the sender runs a version that partitions its list differently
     return;
   }
@@ -86,7 +86,7 @@
 
 /// A starting node usually hears from a seed first. When many nodes start together, exchanging lists with the seeds
 /// would send a list to each of them over the seeds' links, so another peer is preferred until the fleet is known.
-PeerAddress Membership::list_partner(const PeerAddress& differs) {
+PeerAddress Membership::choose_sync_peer(const PeerAddress& differs) {
   if (knows_fleet() || std::find(seeds_.begin(), seeds_.end(), differs) == seeds_.end()) {
     return differs;
   }
@@ -116,7 +116,7 @@
   if (changed) {
     sync_interval_ = options_.least_sync_interval;
   }
-  note_word(sender);
+  end_search_if_member_known(sender);
   if (message.reply) {
     send_whole_list(sender, false);
   }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -17,19 +17,19 @@
 constexpr std::size_t kMaxRelays = 1024;
 /// Incarnation step when refuting the death of a process of this name at another address. When that process resumes, it
 /// may refute the same update with a step of one; with equal incarnations nodes would keep different entries.
-constexpr std::uint64_t kStepElsewhere = 2;
+constexpr std::uint64_t kIncarnationStepOtherAddress = 2;
 /// Remembered peers are pinged only after this time. Seeds that are up answer within some milliseconds.
-constexpr Duration kSeedsFirst = 500ms;
+constexpr Duration kRememberedPeersDelay = 500ms;
 /// Maximum number of remembered peers pinged in a period.
-constexpr std::size_t kRememberedAtOnce = 4;
+constexpr std::size_t kRememberedPeersPerPeriod = 4;
 /// A node is taken to know the fleet once it has learned of no new member for this time. While it joins, it receives
 /// several member lists per second.
-constexpr Duration kJoinQuiet = 400ms;
+constexpr Duration kJoinQuietTime = 400ms;
 /// Upper bound on joining, since nodes that start one after the other would otherwise postpone its end indefinitely.
-constexpr Duration kLongestJoin = 5s;
+constexpr Duration kMaxJoinTime = 5s;
 
 /// At the same incarnation a state of higher severity overrides one of lower severity.
-int gravity(MemberState state) {
+int severity(MemberState state) {
   switch (state) {
     case MemberState::Alive:
       return 0;
@@ -47,7 +47,7 @@
   if (update.incarnation != known.incarnation) {
     return update.incarnation > known.incarnation;
   }
-  return gravity(update.state) > gravity(known.state);
+  return severity(update.state) > severity(known.state);
 }
 
 }  // namespace
@@ -80,18 +80,18 @@
 
 /// When a whole fleet starts at once, the first ping reaches seeds that do not listen yet. Short retries avoid waiting
 /// a whole period for the next one.
-void Membership::join_quickly(Duration pause) {
+void Membership::ping_seeds_until_joined(Duration pause) {
   if (!members_.empty() || seeds_.empty() || pause >= options_.period) {
     return;
   }
   ping_seeds();
-  environment_.after(pause, lifetime_.guard([this, pause] { join_quickly(2 * pause); }));
+  environment_.after(pause, lifetime_.guard([this, pause] { ping_seeds_until_joined(2 * pause); }));
 }
 
 void Membership::start() {
   started_at_ = environment_.now();
   begin_search(true);
-  join_quickly(options_.join_pause);
+  ping_seeds_until_joined(options_.join_pause);
   const auto first =
       static_cast<Duration::rep>(environment_.random() % static_cast<std::uint64_t>(options_.period.count()));
   environment_.after(Duration(first), lifetime_.guard([this] { run_period(); }));
@@ -206,10 +206,10 @@
 
 bool Membership::knows_fleet() const {
   const Timestamp now = environment_.now();
-  if (seeds_.empty() || now - started_at_ >= kLongestJoin) {
+  if (seeds_.empty() || now - started_at_ >= kMaxJoinTime) {
     return true;
   }
-  return !members_.empty() && now - learnt_at_ >= kJoinQuiet;
+  return !members_.empty() && now - last_new_member_at_ >= kJoinQuietTime;
 }
 
 bool Membership::is_live(const NodeId& node) const {
@@ -259,8 +259,8 @@
   } else {
     look_for_fleet();
   }
-  look_at_unknown_seed();
-  ask_remembered();
+  ping_unknown_seed();
+  ping_remembered_peers();
   if (search_.active() || environment_.now() - last_dead_probe_ >= options_.dead_probe_interval) {
     last_dead_probe_ = environment_.now();
     probe_dead_member();
@@ -277,23 +277,23 @@
     begin_search(false);
   }
   ping_seeds();
-  if (search_.take_word(environment_.now()) && hooks_.on_not_found) {
+  if (search_.take_due_report(environment_.now()) && hooks_.on_not_found) {
     hooks_.on_not_found(search_);
   }
 }
 
-void Membership::note_word(const PeerAddress& sender) {
+void Membership::end_search_if_member_known(const PeerAddress& sender) {
   if (!search_.active() || live_count() == 1) {
     return;
   }
   search_.end();
   counters_["membership_alone"] = 0;
   if (hooks_.on_found) {
-    hooks_.on_found(search_, sender, who_lives_at(sender));
+    hooks_.on_found(search_, sender, classify_peer_at(sender));
   }
 }
 
-found_by Membership::who_lives_at(const PeerAddress& address) const {
+found_by Membership::classify_peer_at(const PeerAddress& address) const {
   if (std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end()) {
     return found_by::seed;
   }
@@ -304,7 +304,7 @@
 
 void Membership::recall(std::vector<remembered_peer> peers) {
   remembered_ = std::move(peers);
-  not_asked_yet_ = remembered_.size();
+  remembered_not_pinged_ = remembered_.size();
 }
 
 bool Membership::knows_address(const PeerAddress& address) const {
@@ -313,19 +313,19 @@
          });
 }
 
-void Membership::ask_remembered() {
+void Membership::ping_remembered_peers() {
   const Timestamp now = environment_.now();
   const bool alone = search_.active();
-  const bool often = alone || not_asked_yet_ > 0;
-  if (now - started_at_ < kSeedsFirst || (alone && search_.alone(now) < kSeedsFirst) ||
-      (!often && now - last_remembered_ask_ < options_.dead_probe_interval)) {
+  const bool often = alone || remembered_not_pinged_ > 0;
+  if (now - started_at_ < kRememberedPeersDelay || (alone && search_.alone(now) < kRememberedPeersDelay) ||
+      (!often && now - last_remembered_ping_ < options_.dead_probe_interval)) {
     return;
   }
-  last_remembered_ask_ = now;
-  std::size_t left = often ? kRememberedAtOnce : 1;
+  last_remembered_ping_ = now;
+  std::size_t left = often ? kRememberedPeersPerPeriod : 1;
   for (std::size_t looked = 0; looked < remembered_.size() && left > 0; ++looked) {
     const PeerAddress& address = remembered_[next_remembered_++ % remembered_.size()].address;
-    not_asked_yet_ -= not_asked_yet_ > 0 ? 1 : 0;
+    remembered_not_pinged_ -= remembered_not_pinged_ > 0 ? 1 : 0;
     if (!alone && knows_address(address)) {
       continue;
     }
@@ -352,7 +352,7 @@
 
 /// Pings one seed per period if it is not a known live member. If messages are lost at the start, the fleet can split
 /// into parts that each contain a seed and never learn of each other; the answer shows whether the lists differ.
-void Membership::look_at_unknown_seed() {
+void Membership::ping_unknown_seed() {
   if (seeds_.empty()) {
     return;
   }
@@ -510,14 +510,14 @@
 }
 
 template <class Message>
-void Membership::absorb(const PeerAddress& sender, const Message& message) {
+void Membership::apply_probe_message(const PeerAddress& sender, const Message& message) {
   if (message.sender) {
     merge(*message.sender, true, true);
   }
   for (const auto& update : message.updates) {
     merge(*update, false, true);
   }
-  note_word(sender);
+  end_search_if_member_known(sender);
   TableRevisions revisions{message.object_revision, message.machine_revision, message.group_revision};
   revisions.objects_age_ms = message.objects_age_ms;
   revisions.machines_age_ms = message.machines_age_ms;
@@ -527,9 +527,9 @@
 }
 
 void Membership::handle(const PeerAddress& sender, const wire::PingT& message) {
-  absorb(sender, message);
+  apply_probe_message(sender, message);
   if (message.join) {
-    send_some_members(sender);
+    send_member_sample(sender);
   }
   if (message.sequence != 0) {
     wire::AckT ack = make_probe_message<wire::AckT>(message.sequence);
@@ -541,7 +541,7 @@
   }
 }
 
-void Membership::send_some_members(const PeerAddress& to) {
+void Membership::send_member_sample(const PeerAddress& to) {
   const std::vector<const MemberT*> chosen = random_members(kMembersPerJoinReply);
   for (std::size_t first = 0; first < chosen.size(); first += kMembersPerDatagram) {
     wire::AckT ack;
@@ -564,7 +564,7 @@
 }
 
 void Membership::handle(const PeerAddress& sender, const wire::AckT& message) {
-  absorb(sender, message);
+  apply_probe_message(sender, message);
   if (const auto probe = probes_.find(message.sequence); probe != probes_.end()) {
     probe->second.answered = true;
   }
@@ -606,22 +606,22 @@
   return true;
 }
 
-void Membership::refute(const MemberT& rumour) {
-  const bool elsewhere = rumour.peer_address != self_.peer_address;
-  const bool dead = rumour.state == MemberState::Dead;
-  const bool accused = rumour.state == MemberState::Suspect || dead;
-  const bool outdated = rumour.incarnation > self_.incarnation;
+void Membership::refute(const MemberT& claim) {
+  const bool elsewhere = claim.peer_address != self_.peer_address;
+  const bool dead = claim.state == MemberState::Dead;
+  const bool accused = claim.state == MemberState::Suspect || dead;
+  const bool outdated = claim.incarnation > self_.incarnation;
   // Another process with this node's name may still run at the other address, so its entry is overridden only after it
   // was declared dead.
-  if (rumour.incarnation < self_.incarnation || (elsewhere ? !dead : !accused && !outdated)) {
+  if (claim.incarnation < self_.incarnation || (elsewhere ? !dead : !accused && !outdated)) {
     return;
   }
   digest_ ^= digest_of(self_);
-  self_.incarnation = rumour.incarnation + (elsewhere ? kStepElsewhere : 1);
+  self_.incarnation = claim.incarnation + (elsewhere ? kIncarnationStepOtherAddress : 1);
   digest_ ^= digest_of(self_);
   counters_["membership_refutations_total"]++;
   enqueue(NodeId(self_.id), true);
-  if (rumour.state == MemberState::Dead && hooks_.on_self_refuted) {
+  if (claim.state == MemberState::Dead && hooks_.on_self_refuted) {
     hooks_.on_self_refuted();
   }
 }
@@ -634,7 +634,7 @@
   entry.member = update;
   digest_ ^= digest_of(update);
   entry.state_since = environment_.now();
-  learnt_at_ = is_new ? environment_.now() : learnt_at_;
+  last_new_member_at_ = is_new ? environment_.now() : last_new_member_at_;
   const NodeId node(update.id);
   const bool urgent = is_new || update.state == MemberState::Leaving || update.state == MemberState::Dead ||
                       (before == MemberState::Dead && update.state == MemberState::Alive);
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -171,24 +171,24 @@
   void look_for_fleet();
   void begin_search(bool at_start);
   /// Ends the search for the fleet, on a message from @p sender, if a live member is known.
-  void note_word(const PeerAddress& sender);
+  void end_search_if_member_known(const PeerAddress& sender);
   void ping_seeds();
   /// Pings remembered peers: several per period while no live member is known and until each was pinged once, then
   /// occasionally one that is not a member, since parts of a fleet may have started separately.
-  void ask_remembered();
+  void ping_remembered_peers();
   /// @return whether this node or a known member, live or dead, has @p address.
   bool knows_address(const PeerAddress& address) const;
-  found_by who_lives_at(const PeerAddress& address) const;
-  void look_at_unknown_seed();
+  found_by classify_peer_at(const PeerAddress& address) const;
+  void ping_unknown_seed();
   /// Pings the seeds after @p pause and then at doubling intervals until a member is known.
-  void join_quickly(Duration pause);
+  void ping_seeds_until_joined(Duration pause);
   void probe_dead_member();
   std::optional<NodeId> next_probe_target();
   /// @param spread whether the update is gossiped to peers; false for updates from member lists, which peers also get
   ///        from lists.
   /// @return whether the update was accepted.
   bool merge(const wire::MemberT& update, bool first_hand, bool spread);
-  void refute(const wire::MemberT& rumour);
+  void refute(const wire::MemberT& claim);
   void accept_update(Entry& entry, const wire::MemberT& update, bool spread = true);
   void compare_lists(const PeerAddress& sender, std::uint64_t digest);
   void send_whole_list(const PeerAddress& to, bool reply);
@@ -196,7 +196,7 @@
   /// @return one digest for each part of the member list.
   std::vector<std::uint64_t> part_digests() const;
   /// @return the peer to exchange lists with after @p differs reported a different digest.
-  PeerAddress list_partner(const PeerAddress& differs);
+  PeerAddress choose_sync_peer(const PeerAddress& differs);
   static std::uint64_t digest_of(const wire::MemberT& member);
   void suspect(const NodeId& node);
   void schedule_death(const NodeId& node, std::uint64_t incarnation);
@@ -207,11 +207,11 @@
   template <class Message>
   Message make_probe_message(std::uint64_t sequence);
   /// Sends a random sample of members to a node that searches for the fleet.
-  void send_some_members(const PeerAddress& to);
+  void send_member_sample(const PeerAddress& to);
   /// @return up to @p count random live members, excluding this node.
   std::vector<const wire::MemberT*> random_members(std::size_t count);
   template <class Message>
-  void absorb(const PeerAddress& sender, const Message& message);
+  void apply_probe_message(const PeerAddress& sender, const Message& message);
 
   Environment& environment_;
   Counters& counters_;
@@ -223,8 +223,8 @@
   std::size_t next_seed_ = 0;  ///< Position in the round-robin check for unknown seeds, one seed per period.
   std::vector<remembered_peer> remembered_;
   std::size_t next_remembered_ = 0;
-  std::size_t not_asked_yet_ = 0;  ///< Number of peers passed to recall() that were not tried yet.
-  Timestamp last_remembered_ask_{};
+  std::size_t remembered_not_pinged_ = 0;  ///< Number of peers passed to recall() that were not tried yet.
+  Timestamp last_remembered_ping_{};
   std::map<NodeId, Entry> members_;
   std::vector<NodeId> probe_order_;
   std::vector<Update> updates_;
@@ -234,8 +234,8 @@
   bool eager_scheduled_ = false;
   std::uint64_t version_ = 1;
   Timestamp started_at_{};
-  Timestamp learnt_at_{};     ///< When this node last learned of a new member.
-  std::uint64_t digest_ = 0;  ///< Digest of all live members, including this node.
+  Timestamp last_new_member_at_{};  ///< When this node last learned of a new member.
+  std::uint64_t digest_ = 0;        ///< Digest of all live members, including this node.
   Timestamp last_sync_{};
   Duration sync_interval_{};  ///< Doubles with each comparison; reset when a received list brings a change.
   Timestamp last_dead_probe_{};
--- a/src/membership/remembered_peers.cpp
+++ b/src/membership/remembered_peers.cpp
@@ -14,7 +14,7 @@
 
 /// @return @p candidates interleaved by zone. Within a zone they are ordered by rendezvous weight for @p self, so that
 ///         different nodes remember different peers.
-Candidates in_turn(const Candidates& candidates, const std::string& self) {
+Candidates interleave_by_zone(const Candidates& candidates, const std::string& self) {
   std::map<std::string, std::vector<std::pair<std::uint64_t, const wire::MemberT*>>> zones;
   for (const wire::MemberT* member : candidates) {
     zones[member->zone].emplace_back(rendezvous_weight(self, member->id), member);
@@ -49,20 +49,20 @@
 std::vector<remembered_peer> choose_peers(const Membership& members, const std::vector<remembered_peer>& before) {
   Candidates with_disk;
   Candidates others;
-  std::set<PeerAddress> lived_at{PeerAddress(members.self().peer_address)};
+  std::set<PeerAddress> live_addresses{PeerAddress(members.self().peer_address)};
   for (const wire::MemberT* member : members.members()) {
     if (member == &members.self() || member->state == wire::MemberState::Dead) {
       continue;
     }
-    lived_at.insert(PeerAddress(member->peer_address));
+    live_addresses.insert(PeerAddress(member->peer_address));
     (has_role(*member, Role::ledger) ? with_disk : others).push_back(member);
   }
   std::vector<remembered_peer> chosen;
-  append(in_turn(with_disk, members.self().id), kMostDisksRemembered, chosen);
-  append(in_turn(others, members.self().id), kMostLivingRemembered, chosen);
+  append(interleave_by_zone(with_disk, members.self().id), kMaxRememberedPeersWithDisk, chosen);
+  append(interleave_by_zone(others, members.self().id), kMaxLiveRememberedPeers, chosen);
   for (const remembered_peer& peer : before) {
     // A peer that is live again at another address, or whose address now belongs to another node, is dropped.
-    if (chosen.size() < kMostRemembered && !members.is_live(peer.id) && !lived_at.contains(peer.address)) {
+    if (chosen.size() < kMaxRememberedPeers && !members.is_live(peer.id) && !live_addresses.contains(peer.address)) {
       chosen.push_back(peer);
     }
   }
--- a/src/membership/remembered_peers.hpp
+++ b/src/membership/remembered_peers.hpp
@@ -22,10 +22,10 @@
 };
 
 /// Maximum length of the list, which keeps its record at a few kilobytes.
-inline constexpr std::size_t kMostRemembered = 32;
-inline constexpr std::size_t kMostLivingRemembered =
+inline constexpr std::size_t kMaxRememberedPeers = 32;
+inline constexpr std::size_t kMaxLiveRememberedPeers =
     24;  ///< The remaining entries are reserved for peers not known to be live.
-inline constexpr std::size_t kMostDisksRemembered = 16;  ///< Maximum number of live peers with a disk.
+inline constexpr std::size_t kMaxRememberedPeersWithDisk = 16;  ///< Maximum number of live peers with a disk.
 
 /// @param before the previous list. Its peers that are not known to be live are kept while there is room, so that a
 ///        part of the fleet that started separately does not forget the other parts.
--- a/src/quarantine/end_detector.cpp
+++ b/src/quarantine/end_detector.cpp
@@ -3,63 +3,63 @@
 namespace madderdeck::quarantine {
 
 void end_detector::call_broke(const routing::broken_call& call, decided done) {
-  std::erase_if(ended_at_, [this](const auto& entry) { return environment_.now() - entry.second > kSameEnd; });
+  std::erase_if(ended_at_, [this](const auto& entry) { return environment_.now() - entry.second > kSameEndWindow; });
   log_.record("call_broke",
               {{"request", call.id}, {"fingerprint", call.request.str()}, {"backend", call.backend.str()}});
   if (ended_at_.contains(call.backend)) {
     done(true);
     return;
   }
-  const auto [entry, first] = questions_.try_emplace(call.backend);
+  const auto [entry, first] = pending_checks_.try_emplace(call.backend);
   entry->second.waiting.push_back(std::move(done));
   entry->second.calls.push_back(call);
   if (!first) {
     return;
   }
-  const std::uint64_t number = ++next_question_;
+  const std::uint64_t number = ++next_check_;
   entry->second.number = number;
-  look(call.backend, number);
-  environment_.after(kPatience, lifetime_.guard([this, backend = call.backend, number] {
-    settle(backend, number, routing::reachability::silent);
+  check_backend(call.backend, number);
+  environment_.after(kCheckTimeout, lifetime_.guard([this, backend = call.backend, number] {
+    finish_check(backend, number, routing::reachability::silent);
   }));
 }
 
-void end_detector::look(const BackendId& backend, std::uint64_t number) {
+void end_detector::check_backend(const BackendId& backend, std::uint64_t number) {
   counters_["backend_end_checks_total"]++;
   client_.check_reachable(backend, lifetime_.guard([this, backend, number](routing::reachability found) {
-    on_look(backend, number, found);
+    on_check_result(backend, number, found);
   }));
 }
 
-void end_detector::on_look(const BackendId& backend, std::uint64_t number, routing::reachability found) {
-  const auto entry = questions_.find(backend);
-  if (entry == questions_.end() || entry->second.number != number) {
+void end_detector::on_check_result(const BackendId& backend, std::uint64_t number, routing::reachability found) {
+  const auto entry = pending_checks_.find(backend);
+  if (entry == pending_checks_.end() || entry->second.number != number) {
     return;
   }
-  if (found != routing::reachability::listening || entry->second.looked_before) {
-    settle(backend, number, found);
+  if (found != routing::reachability::listening || entry->second.checked_before) {
+    finish_check(backend, number, found);
     return;
   }
-  entry->second.looked_before = true;
-  environment_.after(kSecondLook, lifetime_.guard([this, backend, number] {
-    const auto asked = questions_.find(backend);
-    if (asked != questions_.end() && asked->second.number == number) {
-      look(backend, number);
+  entry->second.checked_before = true;
+  environment_.after(kSecondCheckDelay, lifetime_.guard([this, backend, number] {
+    const auto asked = pending_checks_.find(backend);
+    if (asked != pending_checks_.end() && asked->second.number == number) {
+      check_backend(backend, number);
     }
   }));
 }
 
-void end_detector::settle(const BackendId& backend, std::uint64_t number, routing::reachability found) {
-  const auto entry = questions_.find(backend);
-  if (entry == questions_.end() || entry->second.number != number) {
+void end_detector::finish_check(const BackendId& backend, std::uint64_t number, routing::reachability found) {
+  const auto entry = pending_checks_.find(backend);
+  if (entry == pending_checks_.end() || entry->second.number != number) {
     return;
   }
   const std::vector<decided> waiting = std::move(entry->second.waiting);
   std::vector<routing::broken_call> calls = std::move(entry->second.calls);
-  questions_.erase(entry);
+  pending_checks_.erase(entry);
   const bool ended = found == routing::reachability::refused;
   if (ended) {
-    note_end(backend);
+    record_end(backend);
   }
   log_.record("backend_checked", {{"backend", backend.str()},
                                   {"found", routing::reachability_name(found)},
@@ -69,24 +69,24 @@
     done(ended);
   }
   if (found == routing::reachability::listening) {
-    look_once_more(backend, std::move(calls));
+    check_late(backend, std::move(calls));
   }
 }
 
-void end_detector::note_end(const BackendId& backend) {
+void end_detector::record_end(const BackendId& backend) {
   ended_at_[backend] = environment_.now();
   counters_["backend_ends_seen_total"]++;
 }
 
 /// Nothing waits for this check: the callers of the broken calls have already been given a result.
-void end_detector::look_once_more(const BackendId& backend, std::vector<routing::broken_call> calls) {
-  environment_.after(kLateLook, lifetime_.guard([this, backend, calls = std::move(calls)] {
+void end_detector::check_late(const BackendId& backend, std::vector<routing::broken_call> calls) {
+  environment_.after(kLateCheckDelay, lifetime_.guard([this, backend, calls = std::move(calls)] {
     counters_["backend_end_checks_total"]++;
     client_.check_reachable(backend, lifetime_.guard([this, backend, calls](routing::reachability found) {
       if (found != routing::reachability::refused) {
         return;
       }
-      note_end(backend);
+      record_end(backend);
       log_.record("backend_ended_late", {{"backend", backend.str()}, {"broken_calls", calls.size()}});
       for (const routing::broken_call& call : calls) {
         if (on_late_end) {
--- a/src/quarantine/end_detector.hpp
+++ b/src/quarantine/end_detector.hpp
@@ -28,7 +28,8 @@
       : environment_(environment), counters_(counters), log_(log), client_(client) {}
 
   /// Checks whether the back end of @p call terminated.
-  /// @param done receives the result: true if the back end terminated. It runs within kPatience, possibly before this
+  /// @param done receives the result: true if the back end terminated. It runs within kCheckTimeout, possibly before
+  /// this
   ///        returns.
   void call_broke(const routing::broken_call& call, decided done);
 
@@ -37,36 +38,36 @@
 
   /// Calls to one back end that break within this time belong to one termination: a back end takes longer to restart,
   /// and the reports of calls that broke together are a few milliseconds apart.
-  static constexpr Duration kSameEnd = 500ms;
+  static constexpr Duration kSameEndWindow = 500ms;
   /// Time between the two checks. The kernel closes all sockets of a terminated process within a few milliseconds.
-  static constexpr Duration kSecondLook = 20ms;
+  static constexpr Duration kSecondCheckDelay = 20ms;
   /// Delay of the last check after a connection broke while its back end stayed up. A back end that a request crashes
   /// terminates 20 to 110 ms after it began to run the request, whether or not the connection is still open.
-  static constexpr Duration kLateLook = 150ms;
+  static constexpr Duration kLateCheckDelay = 150ms;
   /// Timeout of a check. Across zones an answer takes a few milliseconds.
-  static constexpr Duration kPatience = 250ms;
+  static constexpr Duration kCheckTimeout = 250ms;
 
  private:
-  struct question {
+  struct pending_check {
     std::vector<decided> waiting;
     std::vector<routing::broken_call> calls;
     std::uint64_t number = 0;
-    bool looked_before = false;
+    bool checked_before = false;
   };
 
-  void look(const BackendId& backend, std::uint64_t number);
-  void on_look(const BackendId& backend, std::uint64_t number, routing::reachability found);
-  void settle(const BackendId& backend, std::uint64_t number, routing::reachability found);
-  void look_once_more(const BackendId& backend, std::vector<routing::broken_call> calls);
-  void note_end(const BackendId& backend);
+  void check_backend(const BackendId& backend, std::uint64_t number);
+  void on_check_result(const BackendId& backend, std::uint64_t number, routing::reachability found);
+  void finish_check(const BackendId& backend, std::uint64_t number, routing::reachability found);
+  void check_late(const BackendId& backend, std::vector<routing::broken_call> calls);
+  void record_end(const BackendId& backend);
 
   Environment& environment_;
   Counters& counters_;
   DecisionLog& log_;
   routing::BackendClient& client_;
-  std::map<BackendId, question> questions_;
-  std::map<BackendId, Timestamp> ended_at_;  ///< Terminations within the last kSameEnd.
-  std::uint64_t next_question_ = 0;
+  std::map<BackendId, pending_check> pending_checks_;
+  std::map<BackendId, Timestamp> ended_at_;  ///< Terminations within the last kSameEndWindow.
+  std::uint64_t next_check_ = 0;
   Lifetime lifetime_;
 };
 
--- a/src/quarantine/end_history.cpp
+++ b/src/quarantine/end_history.cpp
@@ -9,7 +9,7 @@
 
 using routing::request_fingerprint;
 
-UnixMilliseconds suspected_request::last_news() const {
+UnixMilliseconds suspected_request::last_event_at() const {
   UnixMilliseconds latest = std::max(answered_at, held_back_at);
   for (const backend_end& end : ends) {
     latest = std::max(latest, end.at);
@@ -18,13 +18,13 @@
 }
 
 bool end_history::record(const request_fingerprint& request, const backend_end& end, UnixMilliseconds now) {
-  verdict_.reset();
-  if (end.at + kKeptMs < now) {
+  classification_.reset();
+  if (end.at + kRetentionMs < now) {
     return false;
   }
   auto entry = requests_.find(request);
   if (entry == requests_.end()) {
-    if (requests_.size() >= kMostRequests) {
+    if (requests_.size() >= kMaxRequests) {
       evict_one();
     }
     entry = requests_.emplace(request, suspected_request{request, {}, 0, 0}).first;
@@ -41,7 +41,7 @@
     same->at = std::min(same->at, end.at);
     const bool news = *same != before;
     std::sort(known.ends.begin(), known.ends.end(), is_earlier);
-    erase_answered(known);
+    erase_ends_before_answer(known);
     return news;
   }
   if (end.at <= known.answered_at) {
@@ -50,11 +50,11 @@
   // Keep the earliest ones, so that nodes that received them in a different order store the same.
   const auto later = std::find_if(known.ends.begin(), known.ends.end(),
                                   [&end](const backend_end& one) { return is_earlier(end, one); });
-  if (later == known.ends.end() && known.ends.size() >= kMostEnds) {
+  if (later == known.ends.end() && known.ends.size() >= kMaxEnds) {
     return false;
   }
   known.ends.insert(later, end);
-  if (known.ends.size() > kMostEnds) {
+  if (known.ends.size() > kMaxEnds) {
     known.ends.pop_back();
   }
   return true;
@@ -66,7 +66,7 @@
 
 bool end_history::same_end(const backend_end& one, const backend_end& other) {
   const UnixMilliseconds apart = std::max(one.at, other.at) - std::min(one.at, other.at);
-  return one.backend == other.backend && apart <= kSameEndMs;
+  return one.backend == other.backend && apart <= kSameEndWindowMs;
 }
 
 std::size_t end_history::early_ends(const suspected_request& suspect) {
@@ -78,29 +78,29 @@
 /// with the most terminations are therefore classified first, then the others with those that remain. Among requests
 /// with equally many, one whose terminations are all shared with the others is left out, and a termination shared by
 /// two of the remaining ones counts for neither.
-end_history::verdict end_history::find_guilty() const {
-  std::vector<suspicion> open;
+end_history::classification end_history::find_fatal() const {
+  std::vector<candidate> open;
   for (const auto& [request, known] : requests_) {
     if (early_ends(known) >= kEndsToHoldBack) {
       open.push_back({&known, known.ends});
       std::erase_if(open.back().left, [](const backend_end& end) { return end.advanced; });
     }
   }
-  verdict found;
+  classification found;
   while (true) {
-    const auto fewer = [](const suspicion& one, const suspicion& other) { return one.left.size() < other.left.size(); };
+    const auto fewer = [](const candidate& one, const candidate& other) { return one.left.size() < other.left.size(); };
     const auto most = std::max_element(open.begin(), open.end(), fewer);
     if (most == open.end() || most->left.size() < kEndsToHoldBack) {
       break;
     }
-    const auto round_end = std::partition(open.begin(), open.end(), [count = most->left.size()](const suspicion& one) {
+    const auto round_end = std::partition(open.begin(), open.end(), [count = most->left.size()](const candidate& one) {
       return one.left.size() == count;
     });
-    const std::vector<suspicion> round(open.begin(), round_end);
+    const std::vector<candidate> round(open.begin(), round_end);
     open.erase(open.begin(), round_end);
-    judge(round, found);
-    for (suspicion& lesser : open) {
-      for (const suspicion& explaining : round) {
+    classify_round(round, found);
+    for (candidate& lesser : open) {
+      for (const candidate& explaining : round) {
         erase_shared(lesser.left, explaining.left);
       }
     }
@@ -108,24 +108,24 @@
   return found;
 }
 
-void end_history::judge(const std::vector<suspicion>& round, verdict& found) {
-  for (const suspicion& one : round) {
+void end_history::classify_round(const std::vector<candidate>& round, classification& found) {
+  for (const candidate& one : round) {
     found.ambiguous.insert(one.suspect->request);
   }
-  std::vector<suspicion> needed;
+  std::vector<candidate> needed;
   std::copy_if(round.begin(), round.end(), std::back_inserter(needed),
-               [&round](const suspicion& one) { return !left_alone(one, round).empty(); });
-  for (const suspicion& one : needed) {
-    if (left_alone(one, needed).size() >= kEndsToHoldBack) {
-      found.guilty.insert(one.suspect->request);
+               [&round](const candidate& one) { return !unshared_ends(one, round).empty(); });
+  for (const candidate& one : needed) {
+    if (unshared_ends(one, needed).size() >= kEndsToHoldBack) {
+      found.fatal.insert(one.suspect->request);
       found.ambiguous.erase(one.suspect->request);
     }
   }
 }
 
-std::vector<backend_end> end_history::left_alone(const suspicion& one, const std::vector<suspicion>& others) {
+std::vector<backend_end> end_history::unshared_ends(const candidate& one, const std::vector<candidate>& others) {
   std::vector<backend_end> own = one.left;
-  for (const suspicion& other : others) {
+  for (const candidate& other : others) {
     if (other.suspect != one.suspect) {
       erase_shared(own, other.left);
     }
@@ -139,55 +139,55 @@
   });
 }
 
-/// Adds requests that have kMostEnds terminations, early or not, of which at least kEndsToHoldBack are not explained by
+/// Adds requests that have kMaxEnds terminations, early or not, of which at least kEndsToHoldBack are not explained by
 /// a guilty request. An example are two requests that always ran together.
-void end_history::add_beyond_chance(std::set<request_fingerprint>& guilty) const {
+void end_history::add_with_max_ends(std::set<request_fingerprint>& fatal) const {
   std::set<request_fingerprint> more;
   for (const auto& [request, known] : requests_) {
-    if (known.ends.size() < kMostEnds || guilty.contains(request)) {
+    if (known.ends.size() < kMaxEnds || fatal.contains(request)) {
       continue;
     }
     std::vector<backend_end> left = known.ends;
-    for (const request_fingerprint& other : guilty) {
+    for (const request_fingerprint& other : fatal) {
       erase_shared(left, requests_.at(other).ends);
     }
     if (left.size() >= kEndsToHoldBack) {
       more.insert(request);
     }
   }
-  guilty.merge(more);
+  fatal.merge(more);
 }
 
-void end_history::drop_explained(verdict& found) const {
+void end_history::drop_explained(classification& found) const {
   std::erase_if(found.ambiguous, [this, &found](const request_fingerprint& request) {
     std::vector<backend_end> left = requests_.at(request).ends;
-    for (const request_fingerprint& other : found.guilty) {
+    for (const request_fingerprint& other : found.fatal) {
       if (other != request) {
         erase_shared(left, requests_.at(other).ends);
       }
     }
-    return found.guilty.contains(request) || left.size() < kEndsToHoldBack;
+    return found.fatal.contains(request) || left.size() < kEndsToHoldBack;
   });
 }
 
-const end_history::verdict& end_history::judged() const {
-  if (!verdict_) {
-    verdict_ = find_guilty();
-    add_beyond_chance(verdict_->guilty);
-    drop_explained(*verdict_);
+const end_history::classification& end_history::classified() const {
+  if (!classification_) {
+    classification_ = find_fatal();
+    add_with_max_ends(classification_->fatal);
+    drop_explained(*classification_);
   }
-  return *verdict_;
+  return *classification_;
 }
 
 bool end_history::holds_back(const request_fingerprint& request) const {
-  return ends(request) >= kEndsToHoldBack && judged().guilty.contains(request);
+  return ends(request) >= kEndsToHoldBack && classified().fatal.contains(request);
 }
 
 bool end_history::is_ambiguous(const request_fingerprint& request) const {
-  return ends(request) >= kEndsToHoldBack && judged().ambiguous.contains(request);
+  return ends(request) >= kEndsToHoldBack && classified().ambiguous.contains(request);
 }
 
-std::optional<request_fingerprint> end_history::shares_most(const request_fingerprint& request) const {
+std::optional<request_fingerprint> end_history::request_sharing_most_ends(const request_fingerprint& request) const {
   const suspected_request* known = find(request);
   std::optional<request_fingerprint> found;
   std::pair<std::size_t, std::size_t> most;  // shared and total: the one with more in total is the likelier cause
@@ -210,25 +210,25 @@
   return holds_back(request) && ends(request) > kEndsToHoldBack;
 }
 
-bool end_history::acquit(const request_fingerprint& request, UnixMilliseconds at) {
+bool end_history::clear_ends_until(const request_fingerprint& request, UnixMilliseconds at) {
   const auto entry = requests_.find(request);
   if (entry == requests_.end()) {
     return false;
   }
-  verdict_.reset();
+  classification_.reset();
   suspected_request& known = entry->second;
   known.answered_at = std::max(known.answered_at, at);
-  return erase_answered(known) > 0;
+  return erase_ends_before_answer(known) > 0;
 }
 
-std::size_t end_history::erase_answered(suspected_request& known) {
+std::size_t end_history::erase_ends_before_answer(suspected_request& known) {
   return std::erase_if(known.ends, [&known](const backend_end& end) { return end.at <= known.answered_at; });
 }
 
 bool end_history::merge(const suspected_request& other, UnixMilliseconds now) {
   // Terminations are kept as long as the request has recent events. A recent refusal on another node therefore keeps
   // old terminations valid also on a node that has no entry for the request.
-  const bool forgotten = other.last_news() + kKeptMs < now;
+  const bool forgotten = other.last_event_at() + kRetentionMs < now;
   bool news = false;
   for (const backend_end& end : other.ends) {
     news = (!forgotten && record(other.request, end, end.at)) || news;
@@ -238,7 +238,7 @@
     return news;
   }
   entry->second.held_back_at = std::max(entry->second.held_back_at, other.held_back_at);
-  return (other.answered_at > 0 && acquit(other.request, other.answered_at)) || news;
+  return (other.answered_at > 0 && clear_ends_until(other.request, other.answered_at)) || news;
 }
 
 void end_history::note_held_back(const request_fingerprint& request, UnixMilliseconds now) {
@@ -249,9 +249,9 @@
 
 void end_history::forget_old(UnixMilliseconds now) {
   const auto old =
-      std::erase_if(requests_, [now](const auto& entry) { return entry.second.last_news() + kKeptMs < now; });
+      std::erase_if(requests_, [now](const auto& entry) { return entry.second.last_event_at() + kRetentionMs < now; });
   if (old > 0) {
-    verdict_.reset();
+    classification_.reset();
   }
 }
 
@@ -270,10 +270,10 @@
       std::count_if(requests_.begin(), requests_.end(), [this](const auto& entry) { return holds_back(entry.first); }));
 }
 
-bool end_history::is_compared(const suspected_request& request) { return request.ends.size() + 1 >= kEndsToHoldBack; }
+bool end_history::is_in_digest(const suspected_request& request) { return request.ends.size() + 1 >= kEndsToHoldBack; }
 
 bool end_history::is_shared(const suspected_request& request) {
-  return is_compared(request) || request.answered_at > 0;
+  return is_in_digest(request) || request.answered_at > 0;
 }
 
 std::vector<suspected_request> end_history::shared(std::size_t most) const {
@@ -295,7 +295,7 @@
   // The digest covers each termination, not only their number: nodes that know two different ones each must differ.
   std::uint64_t sum = 0;
   for (const auto& [request, known] : requests_) {
-    if (!is_compared(known)) {
+    if (!is_in_digest(known)) {
       continue;
     }
     for (const backend_end& end : known.ends) {
@@ -307,7 +307,7 @@
 
 void end_history::evict_one() {
   const auto weight = [](const auto& entry) {
-    return std::tuple(std::min(entry.second.ends.size(), kEndsToHoldBack), entry.second.last_news());
+    return std::tuple(std::min(entry.second.ends.size(), kEndsToHoldBack), entry.second.last_event_at());
   };
   const auto least =
       std::min_element(requests_.begin(), requests_.end(),
--- a/src/quarantine/end_history.hpp
+++ b/src/quarantine/end_history.hpp
@@ -29,12 +29,12 @@
 /// A request and the back ends that terminated while running it.
 struct suspected_request {
   routing::request_fingerprint request;
-  std::vector<backend_end> ends;     ///< The earliest kMostEnds terminations after answered_at, in order of time.
+  std::vector<backend_end> ends;     ///< The earliest kMaxEnds terminations after answered_at, in order of time.
   UnixMilliseconds answered_at = 0;  ///< When a run of it last completed successfully; 0 if none is known.
   UnixMilliseconds held_back_at = 0;
 
   /// @return the time of the latest known event: a termination, a successful run or a refusal.
-  UnixMilliseconds last_news() const;
+  UnixMilliseconds last_event_at() const;
 };
 
 /// Suspected requests by fingerprint. The number of entries, the terminations kept for each and the time for which they
@@ -50,16 +50,16 @@
   static constexpr std::size_t kEndsToHoldBack = 3;
   /// With this many terminations, early or not, a request is held back regardless of which others ran beside it, unless
   /// requests that are already held back explain them. Further terminations are not stored.
-  static constexpr std::size_t kMostEnds = 5;
+  static constexpr std::size_t kMaxEnds = 5;
   /// Capacity in entries of about 300 bytes each. Entries with the fewest terminations are evicted first, among these
   /// the ones with the oldest last event.
-  static constexpr std::size_t kMostRequests = 1024;
+  static constexpr std::size_t kMaxRequests = 1024;
   /// Retention time since the last event. Refusals count as events, so a request that callers keep sending stays held
   /// back.
-  static constexpr UnixMilliseconds kKeptMs = 15 * 60 * 1000;
+  static constexpr UnixMilliseconds kRetentionMs = 15 * 60 * 1000;
   /// Two reports about one back end within this time are the same termination: a back end needs longer to restart and
   /// terminate again under the same id.
-  static constexpr UnixMilliseconds kSameEndMs = 2'500;
+  static constexpr UnixMilliseconds kSameEndWindowMs = 2'500;
 
   /// Records that @p end happened while @p request was running.
   /// @return whether this changed the stored data.
@@ -67,7 +67,7 @@
   /// Records that a run of @p request completed successfully at @p at. Earlier terminations are removed, since other
   /// requests must have caused them.
   /// @return whether there were any.
-  bool acquit(const routing::request_fingerprint& request, UnixMilliseconds at);
+  bool clear_ends_until(const routing::request_fingerprint& request, UnixMilliseconds at);
   /// Adds what another node knows about a request.
   /// @return whether this added or removed a termination.
   bool merge(const suspected_request& other, UnixMilliseconds now);
@@ -82,7 +82,8 @@
   ///         one of these caused the terminations, but it is not known yet which.
   bool is_ambiguous(const routing::request_fingerprint& request) const;
   /// @return the other request that shares the most terminations with @p request, if any does.
-  std::optional<routing::request_fingerprint> shares_most(const routing::request_fingerprint& request) const;
+  std::optional<routing::request_fingerprint> request_sharing_most_ends(
+      const routing::request_fingerprint& request) const;
   /// @return whether @p request is held back and has more than three terminations: another back end terminated when it
   ///         was retried once, or five terminated in all.
   bool beyond_doubt(const routing::request_fingerprint& request) const;
@@ -99,39 +100,39 @@
 
  private:
   /// @return whether @p request has two or more terminations and so is part of the digest.
-  static bool is_compared(const suspected_request& request);
+  static bool is_in_digest(const suspected_request& request);
   /// @return whether @p request is sent to nodes that differ: compared entries and those that completed successfully.
   static bool is_shared(const suspected_request& request);
   static bool is_earlier(const backend_end& one, const backend_end& other);
   static bool same_end(const backend_end& one, const backend_end& other);
   /// Removes the terminations that precede the last successful run.
   /// @return how many were removed.
-  static std::size_t erase_answered(suspected_request& known);
+  static std::size_t erase_ends_before_answer(suspected_request& known);
   static std::size_t early_ends(const suspected_request& suspect);
   /// A request and those of its early terminations that no request with more of them explains.
-  struct suspicion {
+  struct candidate {
     const suspected_request* suspect = nullptr;
     std::vector<backend_end> left;
   };
-  struct verdict {
-    std::set<routing::request_fingerprint> guilty;
+  struct classification {
+    std::set<routing::request_fingerprint> fatal;
     std::set<routing::request_fingerprint> ambiguous;
   };
-  const verdict& judged() const;
-  verdict find_guilty() const;
+  const classification& classified() const;
+  classification find_fatal() const;
   /// Classifies the requests of @p round, which all have the same number of terminations left, and adds them to
   /// @p found: those that have three which they do not share are guilty.
-  static void judge(const std::vector<suspicion>& round, verdict& found);
+  static void classify_round(const std::vector<candidate>& round, classification& found);
   /// @return the remaining terminations of @p one that none of @p others shares.
-  static std::vector<backend_end> left_alone(const suspicion& one, const std::vector<suspicion>& others);
+  static std::vector<backend_end> unshared_ends(const candidate& one, const std::vector<candidate>& others);
   static void erase_shared(std::vector<backend_end>& ends, const std::vector<backend_end>& others);
-  void add_beyond_chance(std::set<routing::request_fingerprint>& guilty) const;
+  void add_with_max_ends(std::set<routing::request_fingerprint>& fatal) const;
   /// Keeps among the ambiguous requests only those with three terminations that no guilty request explains.
-  void drop_explained(verdict& found) const;
+  void drop_explained(classification& found) const;
   void evict_one();
 
   std::map<routing::request_fingerprint, suspected_request> requests_;
-  mutable std::optional<verdict> verdict_;  ///< Cached result; reset by changes.
+  mutable std::optional<classification> classification_;  ///< Cached result; reset by changes.
 };
 
 }  // namespace madderdeck::quarantine
--- a/src/quarantine/held_back_marks.cpp
+++ b/src/quarantine/held_back_marks.cpp
@@ -75,25 +75,25 @@
       taken_(std::move(taken)),
       known_(std::move(known)) {}
 
-void held_back_marks::read() { begin(); }
+void held_back_marks::read() { begin_update(); }
 
 void held_back_marks::write(const request_fingerprint& request) {
   to_write_.insert(request);
-  tries_ = 0;
-  begin();
+  attempts_ = 0;
+  begin_update();
 }
 
-void held_back_marks::begin() {
+void held_back_marks::begin_update() {
   if (busy_) {
     return;
   }
   busy_ = true;
-  tries_ = 0;
-  ask();
+  attempts_ = 0;
+  read_list();
 }
 
-void held_back_marks::ask() {
-  ++tries_;
+void held_back_marks::read_list() {
+  ++attempts_;
   counters_["quarantine_marks_read_total"]++;
   platform_.get(
       {kMarksKind, kMarksName},
@@ -102,7 +102,7 @@
 
 void held_back_marks::on_read(const Result<std::optional<object_store::StoredObject>>& result) {
   if (!succeeded(result)) {
-    try_again(error_of(result).kind);
+    retry(error_of(result).kind);
     return;
   }
   const std::optional<object_store::StoredObject>& object = value_of(result);
@@ -117,21 +117,21 @@
     marks = std::vector<suspected_request>();  // the next write replaces the unreadable list
   }
   const std::vector<suspected_request>& stored = value_of(marks);
-  seen_.clear();
+  listed_.clear();
   for (const suspected_request& mark : stored) {
-    seen_.insert(mark.request);
+    listed_.insert(mark.request);
   }
   taken_(stored);
   writing_.merge(to_write_);
   to_write_.clear();
-  if (is_settled(stored)) {
+  if (is_up_to_date(stored)) {
     finish();
   } else {
-    put(stands ? object->entry.revision : 0, renewed(stored));
+    put(stands ? object->entry.revision : 0, updated_list(stored));
   }
 }
 
-bool held_back_marks::is_settled(const std::vector<suspected_request>& stored) const {
+bool held_back_marks::is_up_to_date(const std::vector<suspected_request>& stored) const {
   return std::all_of(writing_.begin(), writing_.end(), [&](const request_fingerprint& request) {
     const bool listed = std::any_of(stored.begin(), stored.end(),
                                     [&request](const suspected_request& mark) { return mark.request == request; });
@@ -139,7 +139,7 @@
   });
 }
 
-std::vector<suspected_request> held_back_marks::renewed(const std::vector<suspected_request>& stored) const {
+std::vector<suspected_request> held_back_marks::updated_list(const std::vector<suspected_request>& stored) const {
   std::set<request_fingerprint> listed = writing_;
   for (const suspected_request& mark : stored) {
     listed.insert(mark.request);
@@ -152,9 +152,9 @@
     }
   }
   std::stable_sort(marks.begin(), marks.end(), [](const suspected_request& one, const suspected_request& other) {
-    return one.last_news() > other.last_news();
+    return one.last_event_at() > other.last_event_at();
   });
-  marks.resize(std::min(marks.size(), kMostMarks));
+  marks.resize(std::min(marks.size(), kMaxMarks));
   return marks;
 }
 
@@ -167,19 +167,20 @@
   counters_["quarantine_marks_written_total"]++;
   platform_.put(request, lifetime_.guard([this, marks](const Result<std::uint64_t>& result) {
     if (!succeeded(result)) {
-      try_again(error_of(result).kind);  // the retry reads first, which shows whether the write took effect
+      retry(error_of(result).kind);  // the retry reads first, which shows whether the write took effect
       return;
     }
-    log_.record("quarantine_marked", {{"requests", marks.size()}, {"revision", value_of(result)}, {"tries", tries_}});
+    log_.record("quarantine_marked",
+                {{"requests", marks.size()}, {"revision", value_of(result)}, {"tries", attempts_}});
     for (const suspected_request& mark : marks) {
-      seen_.insert(mark.request);
+      listed_.insert(mark.request);
     }
     finish();
   }));
 }
 
-void held_back_marks::try_again(ErrorKind kind) {
-  if (tries_ >= kMostTries) {
+void held_back_marks::retry(ErrorKind kind) {
+  if (attempts_ >= kMaxAttempts) {
     counters_["quarantine_marks_given_up_total"]++;
     log_.record("quarantine_not_marked",
                 {{"error", error_kind_name(kind)}, {"requests", to_write_.size() + writing_.size()}});
@@ -188,11 +189,11 @@
     busy_ = false;
     return;
   }
-  Duration pause = kFirstPause;
-  for (unsigned doubled = 1; doubled < tries_ && pause < kLongestPause; ++doubled) {
+  Duration pause = kFirstRetryDelay;
+  for (unsigned doubled = 1; doubled < attempts_ && pause < kMaxRetryDelay; ++doubled) {
     pause *= 2;
   }
-  environment_.after(std::min(pause, kLongestPause), lifetime_.guard([this] { ask(); }));
+  environment_.after(std::min(pause, kMaxRetryDelay), lifetime_.guard([this] { read_list(); }));
 }
 
 /// Requests that were added while the store was answering are written next.
@@ -200,7 +201,7 @@
   busy_ = false;
   writing_.clear();
   if (!to_write_.empty()) {
-    begin();
+    begin_update();
   }
 }
 
--- a/src/quarantine/held_back_marks.hpp
+++ b/src/quarantine/held_back_marks.hpp
@@ -27,7 +27,7 @@
 Result<std::vector<suspected_request>> parse_marks(const std::string& body);
 
 /// Reads the list once when the node starts, and adds a request to it when the request is first held back. If the store
-/// is unavailable, the operation is retried up to kMostTries times with growing delays; nothing waits for it. Single
+/// is unavailable, the operation is retried up to kMaxAttempts times with growing delays; nothing waits for it. Single
 /// threaded.
 class held_back_marks {
  public:
@@ -45,26 +45,26 @@
   /// Adds @p request to the list, or removes it if it is no longer held back.
   void write(const routing::request_fingerprint& request);
   /// @return whether the list contained @p request when this node last read or wrote it.
-  bool holds(const routing::request_fingerprint& request) const { return seen_.contains(request); }
+  bool holds(const routing::request_fingerprint& request) const { return listed_.contains(request); }
 
   /// Maximum number of entries, of about 500 bytes each; the ones with the oldest last event are dropped first.
-  static constexpr std::size_t kMostMarks = 32;
-  static constexpr Duration kFirstPause = 200ms;
-  static constexpr Duration kLongestPause = 60s;
+  static constexpr std::size_t kMaxMarks = 32;
+  static constexpr Duration kFirstRetryDelay = 200ms;
+  static constexpr Duration kMaxRetryDelay = 60s;
   /// With these delays the retries span a little less than the 15 minutes for which terminations are kept.
-  static constexpr unsigned kMostTries = 20;
+  static constexpr unsigned kMaxAttempts = 20;
 
  private:
-  void begin();
-  void ask();
+  void begin_update();
+  void read_list();
   void on_read(const Result<std::optional<object_store::StoredObject>>& result);
   void put(std::uint64_t revision, const std::vector<suspected_request>& marks);
-  void try_again(ErrorKind kind);
+  void retry(ErrorKind kind);
   void finish();
   /// @return the list to write: the entries of @p stored and of writing_ that are held back, as this node knows them.
-  std::vector<suspected_request> renewed(const std::vector<suspected_request>& stored) const;
+  std::vector<suspected_request> updated_list(const std::vector<suspected_request>& stored) const;
   /// @return whether @p stored needs no change: it lists exactly those requests of writing_ that are held back.
-  bool is_settled(const std::vector<suspected_request>& stored) const;
+  bool is_up_to_date(const std::vector<suspected_request>& stored) const;
 
   Environment& environment_;
   Counters& counters_;
@@ -74,9 +74,9 @@
   const look_up known_;
   std::set<routing::request_fingerprint> to_write_;
   std::set<routing::request_fingerprint> writing_;  ///< Moved here from to_write_ by the read in progress.
-  std::set<routing::request_fingerprint> seen_;
+  std::set<routing::request_fingerprint> listed_;
   bool busy_ = false;
-  unsigned tries_ = 0;
+  unsigned attempts_ = 0;
   Lifetime lifetime_;
 };
 
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -8,28 +8,28 @@
 using routing::request_fingerprint;
 
 /// Changes within this time share one message, so that calls that broke with one back end are sent together.
-constexpr Duration kTogether = 1ms;
+constexpr Duration kBatchWindow = 1ms;
 /// A run that had produced output for this long is taken as an unlikely cause. Engines that a request crashed
 /// terminated 20 to 110 ms after its run began, and most live replies take some 700 ms.
-constexpr Duration kAdvanced = 250ms;
+constexpr Duration kAdvancedAfter = 250ms;
 /// Age of the last termination at which a held-back request may be retried. By then the terminated engines have
 /// restarted, and requests that ran beside it have completed or are suspected themselves.
 constexpr UnixMilliseconds kRetrialAfterMs = 15'000;
 /// Entries per list, about 20 KB.
-constexpr std::size_t kMostInOneList = 128;
+constexpr std::size_t kMaxRequestsPerList = 128;
 /// Minimum time between lists sent after a comparison. Nodes can differ permanently if one has no room for an entry;
 /// they must not exchange lists without pause.
-constexpr Duration kBetweenLists = 200ms;
+constexpr Duration kMinListInterval = 200ms;
 /// A node that has just started repeats its request for a list after this time, which suffices to receive 20 KB.
-constexpr Duration kAskAgain = 50ms;
+constexpr Duration kListRequestInterval = 50ms;
 /// How long a node requests lists after its start. By then comparisons have begun, and the node has joined the fleet or
 /// is alone.
-constexpr Duration kAskFor = 5s;
+constexpr Duration kListRequestPeriod = 5s;
 /// For this time after its start a node without entries starts no comparison, since it requests lists instead. It also
 /// receives missed entries through comparisons that other nodes start.
-constexpr Duration kAskedInstead = 1'400ms;
+constexpr Duration kNoComparisonAfterStart = 1'400ms;
 /// Delay of a write to disk, so that changes within it are written together. They are lost if power fails before.
-constexpr Duration kKeepSoon = 20ms;
+constexpr Duration kStoreDelay = 20ms;
 /// Key in the node's storage. The keys of the ledger begin with other letters.
 constexpr char kStoredKey[] = "q/suspected";
 
@@ -74,20 +74,20 @@
       guards_(guards),
       delivery_(
           environment, counters, log, senders_,
-          [this](const std::vector<request_fingerprint>& requests) { return news_of(requests); },
+          [this](const std::vector<request_fingerprint>& requests) { return compose_news(requests); },
           guards.bound_answers) {
   detector_.on_late_end = lifetime_.guard([this](const routing::broken_call& call) { record_end(call); });
 }
 
 void request_quarantine::start() {
   started_at_ = environment_.now();
-  ask_at_start();
-  environment_.after(kCompare, lifetime_.guard([this] { compare(); }));
+  request_list_at_start();
+  environment_.after(kCompareInterval, lifetime_.guard([this] { compare(); }));
 }
 
 /// A single comparison may be lost, and the node would then send requests that other nodes hold back.
-void request_quarantine::ask_at_start() {
-  if (answered_at_start_ || !guards_.tell_others || environment_.now() - started_at_ > kAskFor) {
+void request_quarantine::request_list_at_start() {
+  if (list_received_ || !guards_.tell_others || environment_.now() - started_at_ > kListRequestPeriod) {
     return;
   }
   const std::vector<PeerAddress> peers = senders_();
@@ -95,7 +95,7 @@
     counters_["quarantine_asked_at_start_total"]++;
     send_shared(peers[environment_.random() % peers.size()], true);
   }
-  environment_.after(kAskAgain, lifetime_.guard([this] { ask_at_start(); }));
+  environment_.after(kListRequestInterval, lifetime_.guard([this] { request_list_at_start(); }));
 }
 
 void request_quarantine::keep_in(ledger::Storage& storage) {
@@ -113,7 +113,7 @@
     }
     take(list->requests);
   }
-  kept_digest_ = history_.digest();
+  stored_digest_ = history_.digest();
 }
 
 void request_quarantine::mark_in(object_store::PlatformClient& platform) {
@@ -122,7 +122,7 @@
   }
   marks_ = std::make_unique<held_back_marks>(
       environment_, counters_, log_, platform,
-      [this](const std::vector<suspected_request>& marks) { take_marks(marks); },
+      [this](const std::vector<suspected_request>& marks) { merge_marks(marks); },
       [this](const request_fingerprint& request) {
         const suspected_request* known = history_.find(request);
         return known == nullptr ? std::nullopt : std::optional(*known);
@@ -130,7 +130,7 @@
   marks_->read();
 }
 
-void request_quarantine::take_marks(const std::vector<suspected_request>& marks) {
+void request_quarantine::merge_marks(const std::vector<suspected_request>& marks) {
   for (const suspected_request& mark : marks) {
     take(mark, "read");
   }
@@ -138,7 +138,7 @@
 
 /// Removes a request from the list in the platform's store after one of its runs, already under way when it was held
 /// back, completed successfully.
-void request_quarantine::unmark(const request_fingerprint& request) {
+void request_quarantine::remove_mark_if_released(const request_fingerprint& request) {
   if (marks_ && marks_->holds(request) && history_.ends(request) < end_history::kEndsToHoldBack) {
     marks_->write(request);
   }
@@ -151,26 +151,26 @@
 }
 
 /// Does not wait for the next comparison, since all nodes may lose power before it.
-void request_quarantine::keep_soon() {
-  if (storage_ == nullptr || keeps_soon_) {
+void request_quarantine::schedule_store() {
+  if (storage_ == nullptr || store_scheduled_) {
     return;
   }
-  keeps_soon_ = true;
-  environment_.after(kKeepSoon, lifetime_.guard([this] {
-    keeps_soon_ = false;
+  store_scheduled_ = true;
+  environment_.after(kStoreDelay, lifetime_.guard([this] {
+    store_scheduled_ = false;
     keep();
   }));
 }
 
 void request_quarantine::keep() {
-  if (storage_ == nullptr || kept_digest_ == history_.digest()) {
+  if (storage_ == nullptr || stored_digest_ == history_.digest()) {
     return;
   }
-  kept_digest_ = history_.digest();
+  stored_digest_ = history_.digest();
   storage_->put(kStoredKey, wire::encode_record(shared_list()));
   storage_->flush(lifetime_.guard([this](const Status& flushed) {
     if (!succeeded(flushed)) {
-      kept_digest_ = 0;  // retry at the next comparison
+      stored_digest_ = 0;  // retry at the next comparison
       counters_["quarantine_not_stored_total"]++;
       log_.record("quarantine_not_stored", {{"error", error_kind_name(error_of(flushed).kind)}});
     }
@@ -181,7 +181,7 @@
   if (!guards_.hold_back || !history_.holds_back(request)) {
     return false;
   }
-  if (!guards_.bound_answers && delivery_.awaits(request)) {
+  if (!guards_.bound_answers && delivery_.awaits_acknowledgement(request)) {
     return false;
   }
   const UnixMilliseconds now = environment_.unix_milliseconds();
@@ -198,39 +198,39 @@
 Duration request_quarantine::undecided_for(const request_fingerprint& request) const {
   const suspected_request* known = history_.find(request);
   const bool several = known != nullptr && known->ends.size() + 1 >= end_history::kEndsToHoldBack;
-  if (!several || !guards_.hold_back || !guards_.await_news || known->ends.size() >= end_history::kMostEnds) {
+  if (!several || !guards_.hold_back || !guards_.await_news || known->ends.size() >= end_history::kMaxEnds) {
     return Duration::zero();
   }
   const auto changed = changed_at_.find(request);
   if (changed == changed_at_.end()) {
     return Duration::zero();
   }
-  const Duration patience = history_.is_ambiguous(request) ? kUndecidedAmong : kUndecided;
+  const Duration patience = history_.is_ambiguous(request) ? kUndecidedTimeIfAmbiguous : kUndecidedTime;
   return std::max(Duration::zero(), changed->second + patience - environment_.now());
 }
 
-void request_quarantine::note_change(const request_fingerprint& request) {
+void request_quarantine::on_entry_changed(const request_fingerprint& request) {
   const Timestamp now = environment_.now();
-  std::erase_if(changed_at_, [now](const auto& entry) { return entry.second + kUndecidedAmong < now; });
+  std::erase_if(changed_at_, [now](const auto& entry) { return entry.second + kUndecidedTimeIfAmbiguous < now; });
   changed_at_[request] = now;
-  keep_soon();
-  note_released();
+  schedule_store();
+  log_released();
 }
 
-void request_quarantine::note_released() {
+void request_quarantine::log_released() {
   std::erase_if(quarantined_, [this](const request_fingerprint& request) {
     if (history_.holds_back(request)) {
       return false;
     }
-    note_verdict("request_released", request, "heard");
+    log_not_held_back("request_released", request, "heard");
     return true;
   });
 }
 
-void request_quarantine::note_verdict(std::string_view event, const request_fingerprint& request,
-                                      std::string_view learned) {
+void request_quarantine::log_not_held_back(std::string_view event, const request_fingerprint& request,
+                                           std::string_view learned) {
   const std::size_t ends = history_.ends(request);
-  const std::optional<request_fingerprint> other = history_.shares_most(request);
+  const std::optional<request_fingerprint> other = history_.request_sharing_most_ends(request);
   const bool fewer = ends < end_history::kEndsToHoldBack;
   log_.record(event, {{"fingerprint", request.str()},
                       {"ends", ends},
@@ -261,39 +261,41 @@
   }
   const bool before = history_.holds_back(call.request);
   const UnixMilliseconds now = environment_.unix_milliseconds();
-  if (!history_.record(call.request, {call.backend, now, call.answered_for >= kAdvanced}, now)) {
+  if (!history_.record(call.request, {call.backend, now, call.answered_for >= kAdvancedAfter}, now)) {
     return;
   }
   counters_["quarantine_ends_recorded_total"]++;
-  saw_end_.insert(call.request);
-  note_change(call.request);
-  note_if_held_back(call.request, before, "saw");
-  tell(call.request);
+  ends_seen_here_.insert(call.request);
+  on_entry_changed(call.request);
+  hold_back_when_decided(call.request, before, "saw");
+  queue_report(call.request);
 }
 
 void request_quarantine::call_answered(const request_fingerprint& request) {
-  if (history_.acquit(request, environment_.unix_milliseconds())) {
+  if (history_.clear_ends_until(request, environment_.unix_milliseconds())) {
     counters_["quarantine_acquitted_total"]++;
     log_.record("request_acquitted", {{"fingerprint", request.str()}});
-    unmark(request);
-    note_released();
-    keep_soon();
-    tell(request);
+    remove_mark_if_released(request);
+    log_released();
+    schedule_store();
+    queue_report(request);
   }
 }
 
-void request_quarantine::note_if_held_back(const request_fingerprint& request, bool before, std::string_view learned) {
+void request_quarantine::hold_back_when_decided(const request_fingerprint& request, bool before,
+                                                std::string_view learned) {
   if (before || history_.ends(request) < end_history::kEndsToHoldBack) {
     return;
   }
   // Wait until the request is decided: for a moment, harmless requests that ran beside it have as many terminations.
   if (const Duration wait = undecided_for(request); wait > Duration::zero()) {
-    environment_.after(wait, lifetime_.guard([this, request, learned] { note_if_held_back(request, false, learned); }));
+    environment_.after(wait,
+                       lifetime_.guard([this, request, learned] { hold_back_when_decided(request, false, learned); }));
     return;
   }
   const suspected_request& known = *history_.find(request);
   if (!history_.holds_back(request)) {
-    note_verdict("request_not_quarantined", request, learned);
+    log_not_held_back("request_not_quarantined", request, learned);
     return;
   }
   log_.record("request_quarantined",
@@ -305,28 +307,28 @@
                {"learned", learned}});
   counters_["quarantine_begun_total"]++;
   quarantined_.insert(request);
-  if (marks_ && saw_end_.contains(request)) {
+  if (marks_ && ends_seen_here_.contains(request)) {
     marks_->write(request);
   }
 }
 
-void request_quarantine::tell(const request_fingerprint& request) {
+void request_quarantine::queue_report(const request_fingerprint& request) {
   if (!guards_.tell_others) {
     return;
   }
-  to_tell_.push_back(request);
-  if (to_tell_.size() == 1) {
-    environment_.after(kTogether, lifetime_.guard([this] { tell_waiting(); }));
+  to_send_.push_back(request);
+  if (to_send_.size() == 1) {
+    environment_.after(kBatchWindow, lifetime_.guard([this] { send_waiting(); }));
   }
 }
 
-void request_quarantine::tell_waiting() {
+void request_quarantine::send_waiting() {
   std::vector<request_fingerprint> waiting;
-  std::swap(waiting, to_tell_);
-  delivery_.tell(waiting);
+  std::swap(waiting, to_send_);
+  delivery_.send_to_all(waiting);
 }
 
-wire::SuspicionNewsT request_quarantine::news_of(const std::vector<request_fingerprint>& requests) const {
+wire::SuspicionNewsT request_quarantine::compose_news(const std::vector<request_fingerprint>& requests) const {
   wire::SuspicionNewsT news;
   for (const request_fingerprint& request : requests) {
     if (const suspected_request* known = history_.find(request)) {
@@ -346,10 +348,10 @@
   const bool before = history_.holds_back(told.request);
   if (history_.merge(told, environment_.unix_milliseconds())) {
     counters_["quarantine_news_taken_total"]++;
-    note_change(told.request);
-    note_if_held_back(told.request, before, learned);
+    on_entry_changed(told.request);
+    hold_back_when_decided(told.request, before, learned);
   }
-  unmark(told.request);
+  remove_mark_if_released(told.request);
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
@@ -360,16 +362,16 @@
   wire::SuspicionTakenT taken;
   taken.number = message.number;
   send_message(environment_, sender, std::move(taken));
-  answer_with_more(sender, message);
+  send_missing_ends(sender, message);
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionTakenT& message) {
-  delivery_.taken(sender, message.number);
+  delivery_.on_acknowledged(sender, message.number);
 }
 
 /// A sender whose entry has fewer terminations has missed some. The answer delivers them without waiting for a
 /// comparison, up to 200 ms later.
-void request_quarantine::answer_with_more(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
+void request_quarantine::send_missing_ends(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
   std::vector<request_fingerprint> more;
   for (const auto& told : message.requests) {
     const request_fingerprint request{told->high, told->low};
@@ -379,21 +381,21 @@
   }
   if (!more.empty()) {
     counters_["quarantine_answered_with_more_total"]++;
-    send_message(environment_, sender, news_of(more));
+    send_message(environment_, sender, compose_news(more));
   }
 }
 
 void request_quarantine::compare() {
-  const Duration pause = history_.digest() == 0 ? kCompare : kCompareKnown;
+  const Duration pause = history_.digest() == 0 ? kCompareInterval : kCompareIntervalWithEntries;
   environment_.after(pause, lifetime_.guard([this] { compare(); }));
   history_.forget_old(environment_.unix_milliseconds());
-  std::erase_if(saw_end_, [this](const request_fingerprint& request) { return history_.ends(request) == 0; });
+  std::erase_if(ends_seen_here_, [this](const request_fingerprint& request) { return history_.ends(request) == 0; });
   keep();
   counters_["quarantine_requests_known"] = static_cast<CounterValue>(history_.size());
   counters_["quarantine_requests_held_back"] = static_cast<CounterValue>(history_.held_back());
   const std::vector<PeerAddress> peers = senders_();
-  const bool asked_just_now = history_.digest() == 0 && environment_.now() - started_at_ < kAskedInstead;
-  if (peers.empty() || asked_just_now || !guards_.tell_others) {
+  const bool requests_lists = history_.digest() == 0 && environment_.now() - started_at_ < kNoComparisonAfterStart;
+  if (peers.empty() || requests_lists || !guards_.tell_others) {
     return;
   }
   wire::SuspicionDigestT message;
@@ -402,7 +404,7 @@
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionDigestT& message) {
-  const bool too_soon = sent_shared_at_.count() != 0 && environment_.now() - sent_shared_at_ < kBetweenLists;
+  const bool too_soon = sent_shared_at_.count() != 0 && environment_.now() - sent_shared_at_ < kMinListInterval;
   if (message.digest == history_.digest() || too_soon || !guards_.tell_others) {
     return;
   }
@@ -412,7 +414,7 @@
 
 wire::SuspicionSyncT request_quarantine::shared_list() const {
   wire::SuspicionSyncT list;
-  for (const suspected_request& known : history_.shared(kMostInOneList)) {
+  for (const suspected_request& known : history_.shared(kMaxRequestsPerList)) {
     list.requests.push_back(to_wire(known));
   }
   return list;
@@ -430,7 +432,7 @@
   if (message.reply) {
     send_shared(sender, false);
   } else {
-    answered_at_start_ = true;
+    list_received_ = true;
   }
 }
 
--- a/src/quarantine/request_quarantine.hpp
+++ b/src/quarantine/request_quarantine.hpp
@@ -26,9 +26,9 @@
 };
 
 /// Each termination is sent to all nodes that send requests until each has acknowledged it. A node that missed updates
-/// because it was partitioned, frozen or not running obtains them by comparing digests with one node every kCompare and
-/// by requesting a list when it starts. The platform's store is read once at the start and written for each request
-/// that is held back; nothing waits for it. Single threaded.
+/// because it was partitioned, frozen or not running obtains them by comparing digests with one node every
+/// kCompareInterval and by requesting a list when it starts. The platform's store is read once at the start and written
+/// for each request that is held back; nothing waits for it. Single threaded.
 class request_quarantine : public routing::repeat_guard {
  public:
   /// @return the peer addresses of all other nodes that send requests to back ends.
@@ -69,46 +69,46 @@
 
   /// Time between comparisons. A node that missed updates has them after two comparisons, within the 3 s by which
   /// connected nodes may lag behind each other.
-  static constexpr Duration kCompare = 500ms;
+  static constexpr Duration kCompareInterval = 500ms;
   /// Time between comparisons while this node has entries to compare: 15 in those 3 s, since each takes two or three
   /// messages that may be lost.
-  static constexpr Duration kCompareKnown = 200ms;
+  static constexpr Duration kCompareIntervalWithEntries = 200ms;
   /// How long a request with two or more terminations stays undecided after the last change. By then the other nodes
   /// with calls on the same back end have checked it (twice, 20 ms apart) and sent the result, also if their first
   /// message was lost.
-  static constexpr Duration kUndecided = 100ms;
+  static constexpr Duration kUndecidedTime = 100ms;
   /// The same for a request that shares its terminations with others, so that the cause is ambiguous. By then most
   /// harmless ones have completed on other back ends, which clears them. Most live replies take some 700 ms, part of
   /// which has already passed.
-  static constexpr Duration kUndecidedAmong = 500ms;
+  static constexpr Duration kUndecidedTimeIfAmbiguous = 500ms;
 
  private:
   void compare();
   /// Requests the list of a random node, repeatedly, until one answers.
-  void ask_at_start();
+  void request_list_at_start();
   void record_end(const routing::broken_call& call);
   /// Must be called after each change to the entry of @p request: starts its undecided time and has it stored.
-  void note_change(const routing::request_fingerprint& request);
-  void keep_soon();
+  void on_entry_changed(const routing::request_fingerprint& request);
+  void schedule_store();
   void keep();
   void note_unreadable(ErrorKind kind);
-  void take_marks(const std::vector<suspected_request>& marks);
-  void unmark(const routing::request_fingerprint& request);
-  /// Sends the entry of @p request to all other nodes, in one message with other changes within kTogether.
-  void tell(const routing::request_fingerprint& request);
-  void tell_waiting();
-  wire::SuspicionNewsT news_of(const std::vector<routing::request_fingerprint>& requests) const;
+  void merge_marks(const std::vector<suspected_request>& marks);
+  void remove_mark_if_released(const routing::request_fingerprint& request);
+  /// Sends the entry of @p request to all other nodes, in one message with other changes within kBatchWindow.
+  void queue_report(const routing::request_fingerprint& request);
+  void send_waiting();
+  wire::SuspicionNewsT compose_news(const std::vector<routing::request_fingerprint>& requests) const;
   /// Sends @p sender the entries of the requests in @p message for which this node knows more terminations.
-  void answer_with_more(const PeerAddress& sender, const wire::SuspicionNewsT& message);
+  void send_missing_ends(const PeerAddress& sender, const wire::SuspicionNewsT& message);
   void take(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests);
   void take(const suspected_request& told, std::string_view learned);
   wire::SuspicionSyncT shared_list() const;
   void send_shared(const PeerAddress& to, bool reply);
   /// Logs the requests that are no longer held back after the latest change.
-  void note_released();
+  void log_released();
   /// Logs @p event with the reason why @p request is not held back and the request that shares most terminations.
-  void note_verdict(std::string_view event, const routing::request_fingerprint& request, std::string_view learned);
-  void note_if_held_back(const routing::request_fingerprint& request, bool before, std::string_view learned);
+  void log_not_held_back(std::string_view event, const routing::request_fingerprint& request, std::string_view learned);
+  void hold_back_when_decided(const routing::request_fingerprint& request, bool before, std::string_view learned);
 
   Environment& environment_;
   Counters& counters_;
@@ -119,18 +119,18 @@
   const quarantine_guards guards_;
   end_history history_;
   news_delivery delivery_;
-  std::vector<routing::request_fingerprint> to_tell_;
+  std::vector<routing::request_fingerprint> to_send_;
   std::map<routing::request_fingerprint, Timestamp>
-      changed_at_;  ///< Changes within the last kUndecidedAmong, by this node's clock.
+      changed_at_;  ///< Changes within the last kUndecidedTimeIfAmbiguous, by this node's clock.
   Timestamp started_at_{};
-  bool answered_at_start_ = false;
-  bool keeps_soon_ = false;
+  bool list_received_ = false;
+  bool store_scheduled_ = false;
   Timestamp sent_shared_at_{};
   ledger::Storage* storage_ = nullptr;  ///< Only on nodes with a disk.
-  std::uint64_t kept_digest_ = 0;
-  std::unique_ptr<held_back_marks> marks_;              ///< Null without a platform store.
-  std::set<routing::request_fingerprint> quarantined_;  ///< Logged as held back.
-  std::set<routing::request_fingerprint> saw_end_;      ///< This node saw a back end terminate under these.
+  std::uint64_t stored_digest_ = 0;
+  std::unique_ptr<held_back_marks> marks_;                 ///< Null without a platform store.
+  std::set<routing::request_fingerprint> quarantined_;     ///< Logged as held back.
+  std::set<routing::request_fingerprint> ends_seen_here_;  ///< This node saw a back end terminate under these.
   Lifetime lifetime_;
 };
 
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr unsigned kNobody = 200;  ///< An address that no node uses.
+constexpr unsigned kUnusedAddress = 200;  ///< An address that no node uses.
 
 /// Parameters with which a process of a node starts.
 struct Start {
@@ -382,8 +382,8 @@
   Cluster cluster(kNodes, 2);
   cluster.end_all();
   Start how = cluster.default_start(7);
-  how.seeds = {kNobody};
-  how.remembered = {kNobody + 1, 3};
+  how.seeds = {kUnusedAddress};
+  how.remembered = {kUnusedAddress + 1, 3};
   cluster.start_all({how});
   cluster.run(5s);
   CHECK(cluster.complete_views() == kNodes);
@@ -396,7 +396,7 @@
   cluster.run(10s);
   Start how = cluster.default_start(3);
   how.incarnation += 1;
-  how.remembered = {kNobody, 0, 1, 2};
+  how.remembered = {kUnusedAddress, 0, 1, 2};
   cluster.restart(3, how);
   cluster.run(2s);
   CHECK(cluster.told(3)[0].starts_with("found by seed"));
@@ -407,7 +407,7 @@
   Cluster cluster(kNodes, 2);
   cluster.end_all();
   Start how = cluster.default_start(5);
-  how.seeds = {kNobody};
+  how.seeds = {kUnusedAddress};
   how.remembered = {4};  // remembered as the address of a node with another name
   cluster.start_all({how});
   cluster.run(5s);
@@ -428,8 +428,10 @@
   std::vector<Start> last;
   for (const unsigned node : {6U, 7U}) {
     Start how = cluster.default_start(node);
-    how.seeds = {kNobody};
-    how.remembered = {13 - node, kNobody + 1, kNobody + 2, kNobody + 3, kNobody + 4, kNobody + 5, 4};
+    how.seeds = {kUnusedAddress};
+    how.remembered = {
+        13 - node, kUnusedAddress + 1, kUnusedAddress + 2, kUnusedAddress + 3, kUnusedAddress + 4, kUnusedAddress + 5,
+        4};
     last.push_back(how);
   }
   cluster.start_all(last);
@@ -441,7 +443,7 @@
   constexpr unsigned kNodes = 6;
   Cluster cluster(kNodes, 2);
   Start how = cluster.default_start(5);
-  how.seeds = {kNobody};
+  how.seeds = {kUnusedAddress};
   how.remembered = {3};
   cluster.restart(5, how);
   cluster.run(10s);
@@ -454,7 +456,7 @@
   REQUIRE(cluster.at(5).live_count() == 1);
   Start other = cluster.default_start(3);
   other.incarnation += 1;
-  other.seeds = {kNobody};
+  other.seeds = {kUnusedAddress};
   cluster.restart(3, other);
   cluster.run(2s);
   CHECK(cluster.at(3).live_count() == 2);
@@ -469,7 +471,7 @@
   std::vector<remembered_peer> before{{NodeId("away"), PeerAddress("10.0.0.250:1"), "", 15},
                                       {NodeId("moved"), PeerAddress("10.0.0.7:1"), "", 15}};
   const std::vector<remembered_peer> chosen = choose_peers(cluster.at(9), before);
-  CHECK(chosen.size() == kMostDisksRemembered + 1);  // all nodes of this test have a disk
+  CHECK(chosen.size() == kMaxRememberedPeersWithDisk + 1);  // all nodes of this test have a disk
   CHECK(chosen.back() == before[0]);
   CHECK(std::none_of(chosen.begin(), chosen.end(), [](const auto& peer) { return peer.id.str() == "n9"; }));
   CHECK(choose_peers(cluster.at(9), chosen) == chosen);
@@ -500,14 +502,14 @@
 
 TEST_CASE("a node whose clock is behind rejoins at another address") {
   constexpr unsigned kNodes = 6;
-  constexpr unsigned kElsewhere = 100;
+  constexpr unsigned kOtherAddress = 100;
   for (const Duration away : {Duration(0), Duration(30s)}) {
     Cluster cluster(kNodes, 2);
     cluster.run(10s);
     cluster.end(4);
     cluster.run(away);
     Start how = cluster.default_start(4);
-    how.address = kElsewhere;
+    how.address = kOtherAddress;
     how.incarnation = 10;
     cluster.restart(4, how);
     cluster.run(away == Duration(0) ? 12s : 4s);
@@ -522,13 +524,13 @@
 // Both processes receive the update that declares the former one dead, and each refutes it.
 TEST_CASE("of two processes with one name all members know the later one after the former resumes") {
   constexpr unsigned kNodes = 6;
-  constexpr unsigned kElsewhere = 100;
+  constexpr unsigned kOtherAddress = 100;
   Cluster cluster(kNodes, 2);
   cluster.run(10s);
   cluster.process(4).freeze();
   cluster.run(20s);
   Start how = cluster.default_start(4);
-  how.address = kElsewhere;
+  how.address = kOtherAddress;
   how.incarnation = 10;
   cluster.restart_beside(4, how);
   cluster.run(4s);
--- a/tests/quarantine/end_detector_test.cpp
+++ b/tests/quarantine/end_detector_test.cpp
@@ -44,12 +44,12 @@
   detector_fixture fixture;
   fixture.breaks("engine-1");
   fixture.backends.checks.at(0).done(reachability::listening);
-  fixture.environment.world.run_for(end_detector::kSecondLook);
+  fixture.environment.world.run_for(end_detector::kSecondCheckDelay);
   REQUIRE(fixture.backends.checks.size() == 2);
   fixture.backends.checks.at(1).done(reachability::listening);
   CHECK(fixture.verdicts == std::vector<bool>{false});
   fixture.breaks("engine-2");
-  fixture.environment.world.run_for(end_detector::kPatience);
+  fixture.environment.world.run_for(end_detector::kCheckTimeout);
   CHECK(fixture.verdicts == std::vector<bool>{false, false});
   fixture.backends.checks.at(2).done(reachability::refused);  // too late to attribute it to a termination
   CHECK(fixture.verdicts.size() == 2);
@@ -59,7 +59,7 @@
   detector_fixture fixture;
   fixture.breaks("engine-1");
   fixture.backends.checks.at(0).done(reachability::refused);
-  fixture.environment.world.run_for(end_detector::kSameEnd + 1ms);
+  fixture.environment.world.run_for(end_detector::kSameEndWindow + 1ms);
   fixture.breaks("engine-1");
   CHECK(fixture.backends.checks.size() == 2);
 }
@@ -73,7 +73,7 @@
   fixture.breaks("engine-1");
   fixture.backends.checks.at(0).done(reachability::listening);
   CHECK(fixture.verdicts.empty());
-  fixture.environment.world.run_for(end_detector::kSecondLook);
+  fixture.environment.world.run_for(end_detector::kSecondCheckDelay);
   REQUIRE(fixture.backends.checks.size() == 2);
   fixture.backends.checks.at(1).done(reachability::refused);
   CHECK(fixture.verdicts == std::vector<bool>{true});
@@ -88,10 +88,10 @@
   fixture.detector.on_late_end = [&late](const routing::broken_call& call) { late.push_back(call.id); };
   fixture.breaks("engine-1");
   fixture.backends.checks.at(0).done(reachability::listening);
-  fixture.environment.world.run_for(end_detector::kSecondLook);
+  fixture.environment.world.run_for(end_detector::kSecondCheckDelay);
   fixture.backends.checks.at(1).done(reachability::listening);
   CHECK(fixture.verdicts == std::vector<bool>{false});  // the call need not wait for the late check
-  fixture.environment.world.run_for(end_detector::kLateLook);
+  fixture.environment.world.run_for(end_detector::kLateCheckDelay);
   REQUIRE(fixture.backends.checks.size() == 3);
   SECTION("it has terminated") {
     fixture.backends.checks.at(2).done(reachability::refused);
--- a/tests/quarantine/end_history_test.cpp
+++ b/tests/quarantine/end_history_test.cpp
@@ -35,8 +35,8 @@
     history.record(kRequest, end_of(1, at), kNow + 50);
   }
   CHECK(history.ends(kRequest) == 1);
-  // A back end that restarts under the same id terminates again only after kSameEndMs.
-  CHECK(history.record(kRequest, end_of(1, kNow + end_history::kSameEndMs + 1), kNow + 5'000));
+  // A back end that restarts under the same id terminates again only after kSameEndWindowMs.
+  CHECK(history.record(kRequest, end_of(1, kNow + end_history::kSameEndWindowMs + 1), kNow + 5'000));
   CHECK(history.ends(kRequest) == 2);
 }
 
@@ -65,7 +65,7 @@
     backwards.record(kRequest, end_of(9 - backend, kNow + 9 - backend), kNow + 10);
   }
   CHECK(forwards.find(kRequest)->ends == backwards.find(kRequest)->ends);
-  CHECK(forwards.ends(kRequest) == end_history::kMostEnds);
+  CHECK(forwards.ends(kRequest) == end_history::kMaxEnds);
 }
 
 TEST_CASE("a good run acquits of what was before it, in whichever order the news comes") {
@@ -73,12 +73,12 @@
   for (unsigned backend = 1; backend <= 3; ++backend) {
     history.record(kRequest, end_of(backend, kNow + backend), kNow + 10);
   }
-  CHECK(history.acquit(kRequest, kNow + 20));
+  CHECK(history.clear_ends_until(kRequest, kNow + 20));
   CHECK_FALSE(history.holds_back(kRequest));
   CHECK_FALSE(history.record(kRequest, end_of(4, kNow + 15), kNow + 30));  // reported late
   CHECK(history.record(kRequest, end_of(5, kNow + 25), kNow + 30));
   CHECK(history.ends(kRequest) == 1);
-  CHECK_FALSE(history.acquit({7, 7}, kNow));  // no entry is created for a request that is not suspected
+  CHECK_FALSE(history.clear_ends_until({7, 7}, kNow));  // no entry is created for a request that is not suspected
   CHECK(history.size() == 1);
 }
 
@@ -99,7 +99,7 @@
     CHECK_FALSE(history.holds_back(kBeside));
   }
   SECTION("the other one's good run") {
-    history.acquit(kBeside, kNow + 100);
+    history.clear_ends_until(kBeside, kNow + 100);
     CHECK(history.holds_back(kFatal));
     CHECK_FALSE(history.holds_back(kBeside));
   }
@@ -149,7 +149,7 @@
   backend_end after_long_answer = end_of(3, kNow + 5'978);
   after_long_answer.advanced = true;
   history.record(kBeside, after_long_answer, kNow + 9'000);
-  REQUIRE(history.ends(kBeside) == end_history::kMostEnds);
+  REQUIRE(history.ends(kBeside) == end_history::kMaxEnds);
   CHECK(history.holds_back(kOne));
   CHECK(history.holds_back(kOther));
   CHECK_FALSE(history.holds_back(kBeside));
@@ -184,15 +184,15 @@
   for (unsigned backend = 1; backend <= 3; ++backend) {
     history.record(kRequest, end_of(backend, kNow), kNow);
   }
-  history.forget_old(kNow + end_history::kKeptMs);
+  history.forget_old(kNow + end_history::kRetentionMs);
   CHECK(history.holds_back(kRequest));
-  history.note_held_back(kRequest, kNow + end_history::kKeptMs);
-  history.forget_old(kNow + 2 * end_history::kKeptMs);
+  history.note_held_back(kRequest, kNow + end_history::kRetentionMs);
+  history.forget_old(kNow + 2 * end_history::kRetentionMs);
   CHECK(history.holds_back(kRequest));
-  history.forget_old(kNow + 2 * end_history::kKeptMs + 1);
+  history.forget_old(kNow + 2 * end_history::kRetentionMs + 1);
   CHECK(history.empty());
   CHECK_FALSE(history.record(kRequest, end_of(1, kNow),
-                             kNow + end_history::kKeptMs + 1));  // reported by a peer that still has it
+                             kNow + end_history::kRetentionMs + 1));  // reported by a peer that still has it
 }
 
 TEST_CASE("thousands of other requests do not push out one that is held back, nor grow without bound") {
@@ -205,7 +205,7 @@
     history.record({other, other}, end_of(2, kNow + other), kNow + other);
   }
   CHECK(history.holds_back(kRequest));
-  CHECK(history.size() == end_history::kMostRequests);
+  CHECK(history.size() == end_history::kMaxRequests);
 }
 
 TEST_CASE("histories that have merged each other's share the same") {
@@ -217,7 +217,7 @@
       // Terminations of different back ends, far apart in time, so that no two reports are taken for one termination.
       const UnixMilliseconds at = kNow + backend * 10'000ULL;
       if (which % 8 >= 6) {
-        one.acquit({which / 64U, 0}, at + 1);
+        one.clear_ends_until({which / 64U, 0}, at + 1);
       } else {
         one.record({which / 64U, 0}, end_of(backend, at), at);
       }
--- a/tests/quarantine/held_back_marks_test.cpp
+++ b/tests/quarantine/held_back_marks_test.cpp
@@ -162,7 +162,7 @@
   fixture.run_for(5min);
   CHECK(fixture.store.reads <= 15);
   fixture.store.away = false;
-  fixture.run_for(held_back_marks::kLongestPause + 1s);
+  fixture.run_for(held_back_marks::kMaxRetryDelay + 1s);
   CHECK(fixture.listed().size() == 1);
 }
 
@@ -171,7 +171,7 @@
   fixture.store.away = true;
   fixture.one.hold_back(fixture.fatal);
   fixture.run_for(1h);
-  CHECK(fixture.store.reads == held_back_marks::kMostTries);
+  CHECK(fixture.store.reads == held_back_marks::kMaxAttempts);
   CHECK(fixture.one.counters["quarantine_marks_given_up_total"] == 1);
   fixture.store.away = false;
   fixture.one.hold_back(with_ends("another body", 1'000));
@@ -208,12 +208,12 @@
 
 TEST_CASE("a full list keeps the requests with the latest events") {
   marks_fixture fixture;
-  for (unsigned number = 0; number < 2 * held_back_marks::kMostMarks; ++number) {
+  for (unsigned number = 0; number < 2 * held_back_marks::kMaxMarks; ++number) {
     fixture.one.hold_back(with_ends("body " + std::to_string(number), 1'000 + number));
   }
   fixture.run_for(10s);
-  REQUIRE(fixture.listed().size() == held_back_marks::kMostMarks);
-  CHECK(fixture.listed().back().last_news() == 1'000 + held_back_marks::kMostMarks + 2);
+  REQUIRE(fixture.listed().size() == held_back_marks::kMaxMarks);
+  CHECK(fixture.listed().back().last_event_at() == 1'000 + held_back_marks::kMaxMarks + 2);
   const unsigned writes = fixture.store.writes;
   fixture.run_for(1h);
   CHECK(fixture.store.writes == writes);
--- a/tests/quarantine/news_delivery_test.cpp
+++ b/tests/quarantine/news_delivery_test.cpp
@@ -44,13 +44,13 @@
 
 TEST_CASE("an update is repeated to each peer until that peer has acknowledged it") {
   delivery_fixture fixture;
-  fixture.delivery.tell({kRequest});
+  fixture.delivery.send_to_all({kRequest});
   REQUIRE(fixture.numbers_to("one").size() == 1);
-  fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one")[0]);
+  fixture.delivery.on_acknowledged(PeerAddress("one"), fixture.numbers_to("one")[0]);
   fixture.environment.world.run_for(100ms);
   CHECK(fixture.numbers_to("one").size() == 1);
   CHECK(fixture.numbers_to("two").size() >= 5);
-  fixture.delivery.taken(PeerAddress("two"), fixture.numbers_to("two")[0]);
+  fixture.delivery.on_acknowledged(PeerAddress("two"), fixture.numbers_to("two")[0]);
   const std::size_t sent = fixture.environment.sent.size();
   fixture.environment.world.run_for(5s);
   CHECK(fixture.environment.sent.size() == sent);
@@ -58,27 +58,28 @@
 
 TEST_CASE("a peer that never acknowledges is sent a bounded number of messages, fewer for the next update") {
   delivery_fixture fixture;
-  fixture.delivery.tell({kRequest});
-  fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one")[0]);
+  fixture.delivery.send_to_all({kRequest});
+  fixture.delivery.on_acknowledged(PeerAddress("one"), fixture.numbers_to("one")[0]);
   fixture.environment.world.run_for(10s);
-  CHECK(fixture.numbers_to("two").size() == news_delivery::kMostTries);
+  CHECK(fixture.numbers_to("two").size() == news_delivery::kMaxAttempts);
   CHECK(fixture.counters["quarantine_news_unanswered_total"] == 1);
-  fixture.delivery.tell({kRequest});
-  fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one").back());
+  fixture.delivery.send_to_all({kRequest});
+  fixture.delivery.on_acknowledged(PeerAddress("one"), fixture.numbers_to("one").back());
   fixture.environment.world.run_for(10s);
-  CHECK(fixture.numbers_to("two").size() == news_delivery::kMostTries + news_delivery::kTriesOfSilent);
+  CHECK(fixture.numbers_to("two").size() == news_delivery::kMaxAttempts + news_delivery::kMaxAttemptsToUnresponsive);
   SECTION("until it acknowledges any message") {
-    fixture.delivery.taken(PeerAddress("two"), 0);
-    fixture.delivery.tell({kRequest});
+    fixture.delivery.on_acknowledged(PeerAddress("two"), 0);
+    fixture.delivery.send_to_all({kRequest});
     fixture.environment.world.run_for(10s);
-    CHECK(fixture.numbers_to("two").size() == 2 * news_delivery::kMostTries + news_delivery::kTriesOfSilent);
+    CHECK(fixture.numbers_to("two").size() ==
+          2 * news_delivery::kMaxAttempts + news_delivery::kMaxAttemptsToUnresponsive);
   }
 }
 
 TEST_CASE("a node that knows no peers yet sends the update to those it finds later") {
   delivery_fixture fixture;
   fixture.peers.clear();
-  fixture.delivery.tell({kRequest});
+  fixture.delivery.send_to_all({kRequest});
   fixture.environment.world.run_for(300ms);
   CHECK(fixture.environment.sent.empty());
   fixture.peers = {PeerAddress("one")};
@@ -89,17 +90,17 @@
 TEST_CASE("updates about many requests are split into datagrams, and unacknowledged messages are bounded") {
   delivery_fixture fixture;
   std::vector<request_fingerprint> many;
-  for (std::uint64_t request = 0; request < news_delivery::kMostInOneDatagram * 2 + 1; ++request) {
+  for (std::uint64_t request = 0; request < news_delivery::kMaxRequestsPerDatagram * 2 + 1; ++request) {
     many.push_back({request, 0});
   }
-  fixture.delivery.tell(many);
+  fixture.delivery.send_to_all(many);
   CHECK(fixture.numbers_to("one").size() == 3);
-  for (std::size_t more = 0; more < 2 * news_delivery::kMostOpen; ++more) {
-    fixture.delivery.tell({kRequest});
+  for (std::size_t more = 0; more < 2 * news_delivery::kMaxOpenMessages; ++more) {
+    fixture.delivery.send_to_all({kRequest});
   }
   CHECK(fixture.counters["quarantine_news_over_limit_total"] > 0);
   const std::size_t before = fixture.environment.sent.size();
   fixture.environment.world.run_for(10s);
-  const std::size_t most = news_delivery::kMostOpen * 2 * (news_delivery::kMostTries - 1);
+  const std::size_t most = news_delivery::kMaxOpenMessages * 2 * (news_delivery::kMaxAttempts - 1);
   CHECK(fixture.environment.sent.size() - before <= most);
 }
--- a/tests/quarantine/request_quarantine_test.cpp
+++ b/tests/quarantine/request_quarantine_test.cpp
@@ -255,7 +255,7 @@
   fixture.run_for(10s);
   CHECK(fixture.holding_back() == 49);
   fixture.cut_off(7, false);
-  fixture.run_for(2 * request_quarantine::kCompare);
+  fixture.run_for(2 * request_quarantine::kCompareInterval);
   CHECK(fixture.holding_back() == 50);
 }
 
@@ -342,11 +342,11 @@
       fixture.run_for(150ms);
     }
   }
-  CHECK(judge.undecided_for(beside) == request_quarantine::kUndecided);
+  CHECK(judge.undecided_for(beside) == request_quarantine::kUndecidedTime);
   fixture.run_for(20ms);
   fixture.ends(0, "engine-2");
   fixture.ends(0, "engine-3");  // the second attempt of that call
-  fixture.run_for(request_quarantine::kUndecided + 10ms);
+  fixture.run_for(request_quarantine::kUndecidedTime + 10ms);
   CHECK(judge.undecided_for(beside) == Duration::zero());
   CHECK_FALSE(judge.holds_back(beside, "innocent"));
   CHECK(fixture.nodes[1]->counters["quarantine_begun_total"] == 1);  // only the fatal one
@@ -366,7 +366,7 @@
     fixture.ends(0, backend);
     judge.call_broke({beside, "innocent", BackendId(backend)}, [](bool) {});
   }
-  fixture.run_for(request_quarantine::kUndecided + 50ms);
+  fixture.run_for(request_quarantine::kUndecidedTime + 50ms);
   CHECK(judge.undecided_for(fixture.request) > Duration::zero());
   CHECK(judge.undecided_for(beside) > Duration::zero());
   SECTION("one of them completes successfully") {
@@ -376,7 +376,7 @@
     CHECK_FALSE(judge.holds_back(beside, "innocent"));
   }
   SECTION("no further report arrives") {
-    fixture.run_for(request_quarantine::kUndecidedAmong);
+    fixture.run_for(request_quarantine::kUndecidedTimeIfAmbiguous);
     CHECK(judge.undecided_for(beside) == Duration::zero());
     CHECK_FALSE(judge.holds_back(beside, "innocent"));
   }
