--- a/src/membership/member_lists.cpp
+++ b/src/membership/member_lists.cpp
@@ -36,7 +36,7 @@
     return;
   }
   last_sync_ = environment_.now();
-  sync_interval_ = std::clamp(sync_interval_ * 2, options_.least_sync_interval, options_.most_sync_interval);
+  sync_interval_ = std::clamp(sync_interval_ * 2, options_.min_sync_interval, options_.max_sync_interval);
   send_digests(choose_sync_peer(sender), true);
 }
 
@@ -114,7 +114,7 @@
     changed = merge(*member, false, false) || changed;
   }
   if (changed) {
-    sync_interval_ = options_.least_sync_interval;
+    sync_interval_ = options_.min_sync_interval;
   }
   end_search_if_member_known(sender);
   if (message.reply) {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -150,9 +150,10 @@
   if (entry == members_.end()) {
     return std::nullopt;
   }
-  const Timestamp heard_at = entry->second.heard_at;
-  const Timestamp told_at = entry->second.told_at;
-  return member_word{environment_.now() - std::max(heard_at, told_at), heard_at >= told_at};
+  const Timestamp last_direct_at = entry->second.last_direct_at;
+  const Timestamp last_forwarded_at = entry->second.last_forwarded_at;
+  return member_word{environment_.now() - std::max(last_direct_at, last_forwarded_at),
+                     last_direct_at >= last_forwarded_at};
 }
 
 unsigned Membership::distance_to(const NodeId& node) const {
@@ -257,7 +258,7 @@
   if (const auto target = next_probe_target()) {
     probe(*target);
   } else {
-    look_for_fleet();
+    search_for_fleet();
   }
   ping_unknown_seed();
   ping_remembered_peers();
@@ -272,7 +273,7 @@
   counters_["membership_alone"] = 1;
 }
 
-void Membership::look_for_fleet() {
+void Membership::search_for_fleet() {
   if (!search_.active()) {
     begin_search(false);
   }
@@ -590,7 +591,7 @@
   auto [position, inserted] = members_.try_emplace(node);
   Entry& entry = position->second;
   if (first_hand) {
-    entry.heard_at = environment_.now();
+    entry.last_direct_at = environment_.now();
   }
   if (!inserted && !overrides(update, entry.member)) {
     return false;
@@ -600,7 +601,7 @@
     return false;
   }
   if (!first_hand) {
-    entry.told_at = environment_.now();
+    entry.last_forwarded_at = environment_.now();
   }
   accept_update(entry, update, spread);
   return true;
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -33,10 +33,10 @@
   std::size_t eager_fanout = 3;    ///< Peers that are sent an urgent state change without waiting for a probe.
   Duration eager_delay = 30ms;     ///< Urgent changes within this time share one message.
   std::size_t updates_per_message = 6;
-  double retransmit_factor = 3.0;     ///< Multiplied by log2(members + 1): how often an update is sent.
-  std::size_t eager_limit = 24;       ///< With more updates queued, nodes rely on exchanges of member lists instead.
-  Duration least_sync_interval = 1s;  ///< Minimum time between comparisons of lists with peers that differ.
-  Duration most_sync_interval = 32s;
+  double retransmit_factor = 3.0;   ///< Multiplied by log2(members + 1): how often an update is sent.
+  std::size_t eager_limit = 24;     ///< With more updates queued, nodes rely on exchanges of member lists instead.
+  Duration min_sync_interval = 1s;  ///< Minimum time between comparisons of lists with peers that differ.
+  Duration max_sync_interval = 32s;
   /// Delay between the first and the second ping to the seeds while no member is known; it doubles up to the period.
   /// The seeds of a large fleet that starts all at once receive these pings from every node.
   Duration join_pause = 80ms;
@@ -146,8 +146,8 @@
   struct Entry {
     wire::MemberT member;
     Timestamp state_since{};
-    Timestamp heard_at{};  ///< Time of the latest message from the member itself; zero if none.
-    Timestamp told_at{};   ///< Time of the latest accepted update about it from other nodes; zero if none.
+    Timestamp last_direct_at{};     ///< Time of the latest message from the member itself; zero if none.
+    Timestamp last_forwarded_at{};  ///< Time of the latest accepted update about it from other nodes; zero if none.
   };
   struct Update {
     NodeId node;
@@ -168,7 +168,7 @@
   void probe_indirectly(std::uint64_t sequence);
   void finish_probe(std::uint64_t sequence);
   /// Pings the seeds and reports the search. Runs in each period in which no live member is known.
-  void look_for_fleet();
+  void search_for_fleet();
   void begin_search(bool at_start);
   /// Ends the search for the fleet, on a message from @p sender, if a live member is known.
   void end_search_if_member_known(const PeerAddress& sender);
--- a/src/quarantine/end_history.cpp
+++ b/src/quarantine/end_history.cpp
@@ -39,10 +39,10 @@
     const backend_end before = *same;
     same->advanced = same->advanced && end.advanced;
     same->at = std::min(same->at, end.at);
-    const bool news = *same != before;
+    const bool changed = *same != before;
     std::sort(known.ends.begin(), known.ends.end(), is_earlier);
     erase_ends_before_answer(known);
-    return news;
+    return changed;
   }
   if (end.at <= known.answered_at) {
     return false;
@@ -229,16 +229,16 @@
   // Terminations are kept as long as the request has recent events. A recent refusal on another node therefore keeps
   // old terminations valid also on a node that has no entry for the request.
   const bool forgotten = other.last_event_at() + kRetentionMs < now;
-  bool news = false;
+  bool changed = false;
   for (const backend_end& end : other.ends) {
-    news = (!forgotten && record(other.request, end, end.at)) || news;
+    changed = (!forgotten && record(other.request, end, end.at)) || changed;
   }
   const auto entry = requests_.find(other.request);
   if (entry == requests_.end()) {
-    return news;
+    return changed;
   }
   entry->second.held_back_at = std::max(entry->second.held_back_at, other.held_back_at);
-  return (other.answered_at > 0 && clear_ends_until(other.request, other.answered_at)) || news;
+  return (other.answered_at > 0 && clear_ends_until(other.request, other.answered_at)) || changed;
 }
 
 void end_history::note_held_back(const request_fingerprint& request, UnixMilliseconds now) {
--- a/src/quarantine/held_back_marks.cpp
+++ b/src/quarantine/held_back_marks.cpp
@@ -67,13 +67,13 @@
 }
 
 held_back_marks::held_back_marks(Environment& environment, Counters& counters, DecisionLog& log,
-                                 object_store::PlatformClient& platform, take taken, look_up known)
+                                 object_store::PlatformClient& platform, list_handler handle_list, entry_lookup known)
     : environment_(environment),
       counters_(counters),
       log_(log),
       platform_(platform),
-      taken_(std::move(taken)),
-      known_(std::move(known)) {}
+      handle_list_(std::move(handle_list)),
+      look_up_entry_(std::move(known)) {}
 
 void held_back_marks::read() { begin_update(); }
 
@@ -121,7 +121,7 @@
   for (const suspected_request& mark : stored) {
     listed_.insert(mark.request);
   }
-  taken_(stored);
+  handle_list_(stored);
   writing_.merge(to_write_);
   to_write_.clear();
   if (is_up_to_date(stored)) {
@@ -135,7 +135,7 @@
   return std::all_of(writing_.begin(), writing_.end(), [&](const request_fingerprint& request) {
     const bool listed = std::any_of(stored.begin(), stored.end(),
                                     [&request](const suspected_request& mark) { return mark.request == request; });
-    return listed == is_held_back(known_(request));
+    return listed == is_held_back(look_up_entry_(request));
   });
 }
 
@@ -147,7 +147,7 @@
   std::vector<suspected_request> marks;
   for (const request_fingerprint& request : listed) {
     // Stored entries that were too old to be merged have no entry on this node, so they are dropped from the list.
-    if (const std::optional<suspected_request> known = known_(request); is_held_back(known)) {
+    if (const std::optional<suspected_request> known = look_up_entry_(request); is_held_back(known)) {
       marks.push_back(*known);
     }
   }
@@ -189,11 +189,11 @@
     busy_ = false;
     return;
   }
-  Duration pause = kFirstRetryDelay;
-  for (unsigned doubled = 1; doubled < attempts_ && pause < kMaxRetryDelay; ++doubled) {
-    pause *= 2;
+  Duration delay = kFirstRetryDelay;
+  for (unsigned doubled = 1; doubled < attempts_ && delay < kMaxRetryDelay; ++doubled) {
+    delay *= 2;
   }
-  environment_.after(std::min(pause, kMaxRetryDelay), lifetime_.guard([this] { read_list(); }));
+  environment_.after(std::min(delay, kMaxRetryDelay), lifetime_.guard([this] { read_list(); }));
 }
 
 /// Requests that were added while the store was answering are written next.
--- a/src/quarantine/held_back_marks.hpp
+++ b/src/quarantine/held_back_marks.hpp
@@ -32,13 +32,13 @@
 class held_back_marks {
  public:
   /// Receives the entries of the list after each read.
-  using take = std::function<void(const std::vector<suspected_request>&)>;
+  using list_handler = std::function<void(const std::vector<suspected_request>&)>;
   /// @return this node's entry for a request; nothing if it has none.
-  using look_up = std::function<std::optional<suspected_request>(const routing::request_fingerprint&)>;
+  using entry_lookup = std::function<std::optional<suspected_request>(const routing::request_fingerprint&)>;
 
   /// @param platform outlives this.
   held_back_marks(Environment& environment, Counters& counters, DecisionLog& log,
-                  object_store::PlatformClient& platform, take taken, look_up known);
+                  object_store::PlatformClient& platform, list_handler handle_list, entry_lookup known);
 
   /// Reads the list.
   void read();
@@ -70,8 +70,8 @@
   Counters& counters_;
   DecisionLog& log_;
   object_store::PlatformClient& platform_;
-  const take taken_;
-  const look_up known_;
+  const list_handler handle_list_;
+  const entry_lookup look_up_entry_;
   std::set<routing::request_fingerprint> to_write_;
   std::set<routing::request_fingerprint> writing_;  ///< Moved here from to_write_ by the read in progress.
   std::set<routing::request_fingerprint> listed_;
--- a/src/quarantine/news_delivery.cpp
+++ b/src/quarantine/news_delivery.cpp
@@ -36,7 +36,7 @@
   message opened;
   opened.requests = std::move(requests);
   opened.started_at = environment_.now();
-  opened.pause = std::max<Duration>(kFirstRepeatDelay, kRepeatDelayPerPeer * list_peers_().size());
+  opened.delay = std::max<Duration>(kFirstRepeatDelay, kRepeatDelayPerPeer * list_peers_().size());
   open_.emplace(next_number_, std::move(opened));
   send(next_number_);
 }
@@ -87,8 +87,8 @@
     counters_[open.attempts == 0 ? "quarantine_news_sent_total" : "quarantine_news_repeated_total"]++;
   }
   ++open.attempts;
-  environment_.after(open.pause, lifetime_.guard([this, number] { send(number); }));
-  open.pause += open.pause / 2;
+  environment_.after(open.delay, lifetime_.guard([this, number] { send(number); }));
+  open.delay += open.delay / 2;
 }
 
 void news_delivery::give_up(const message& open) {
--- a/src/quarantine/news_delivery.hpp
+++ b/src/quarantine/news_delivery.hpp
@@ -57,7 +57,7 @@
     std::set<PeerAddress> told;
     std::set<PeerAddress> unanswered;
     unsigned attempts = 0;
-    Duration pause{};
+    Duration delay{};
     Timestamp started_at{};
   };
 
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -40,24 +40,24 @@
   message->answered_at_ms = known.answered_at;
   message->held_back_at_ms = known.held_back_at;
   for (const backend_end& end : known.ends) {
-    auto told = std::make_unique<wire::BackendEndT>();
-    told->backend = end.backend.str();
-    told->at_ms = end.at;
-    told->advanced = end.advanced;
-    message->ends.push_back(std::move(told));
+    auto reported = std::make_unique<wire::BackendEndT>();
+    reported->backend = end.backend.str();
+    reported->at_ms = end.at;
+    reported->advanced = end.advanced;
+    message->ends.push_back(std::move(reported));
   }
   return message;
 }
 
 suspected_request from_wire(const wire::SuspectedRequestT& message) {
-  suspected_request told;
-  told.request = {message.high, message.low};
-  told.answered_at = message.answered_at_ms;
-  told.held_back_at = message.held_back_at_ms;
+  suspected_request reported;
+  reported.request = {message.high, message.low};
+  reported.answered_at = message.answered_at_ms;
+  reported.held_back_at = message.held_back_at_ms;
   for (const auto& end : message.ends) {
-    told.ends.push_back({BackendId(end->backend), end->at_ms, end->advanced});
+    reported.ends.push_back({BackendId(end->backend), end->at_ms, end->advanced});
   }
-  return told;
+  return reported;
 }
 
 }  // namespace
@@ -111,7 +111,7 @@
       note_unreadable(ErrorKind::corrupted);
       return;
     }
-    take(list->requests);
+    merge_reports(list->requests);
   }
   stored_digest_ = history_.digest();
 }
@@ -132,7 +132,7 @@
 
 void request_quarantine::merge_marks(const std::vector<suspected_request>& marks) {
   for (const suspected_request& mark : marks) {
-    take(mark, "read");
+    merge_reports(mark, "read");
   }
 }
 
@@ -158,11 +158,11 @@
   store_scheduled_ = true;
   environment_.after(kStoreDelay, lifetime_.guard([this] {
     store_scheduled_ = false;
-    keep();
+    store_list();
   }));
 }
 
-void request_quarantine::keep() {
+void request_quarantine::store_list() {
   if (storage_ == nullptr || stored_digest_ == history_.digest()) {
     return;
   }
@@ -205,8 +205,8 @@
   if (changed == changed_at_.end()) {
     return Duration::zero();
   }
-  const Duration patience = history_.is_ambiguous(request) ? kUndecidedTimeIfAmbiguous : kUndecidedTime;
-  return std::max(Duration::zero(), changed->second + patience - environment_.now());
+  const Duration undecided_time = history_.is_ambiguous(request) ? kUndecidedTimeIfAmbiguous : kUndecidedTime;
+  return std::max(Duration::zero(), changed->second + undecided_time - environment_.now());
 }
 
 void request_quarantine::on_entry_changed(const request_fingerprint& request) {
@@ -338,24 +338,24 @@
   return news;
 }
 
-void request_quarantine::take(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests) {
+void request_quarantine::merge_reports(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests) {
   for (const auto& message : requests) {
-    take(from_wire(*message), "heard");
+    merge_reports(from_wire(*message), "heard");
   }
 }
 
-void request_quarantine::take(const suspected_request& told, std::string_view learned) {
-  const bool before = history_.holds_back(told.request);
-  if (history_.merge(told, environment_.unix_milliseconds())) {
+void request_quarantine::merge_reports(const suspected_request& reported, std::string_view learned) {
+  const bool before = history_.holds_back(reported.request);
+  if (history_.merge(reported, environment_.unix_milliseconds())) {
     counters_["quarantine_news_taken_total"]++;
-    on_entry_changed(told.request);
-    hold_back_when_decided(told.request, before, learned);
+    on_entry_changed(reported.request);
+    hold_back_when_decided(reported.request, before, learned);
   }
-  remove_mark_if_released(told.request);
+  remove_mark_if_released(reported.request);
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
-  take(message.requests);
+  merge_reports(message.requests);
   if (message.number == 0) {
     return;  // the sender requests no acknowledgement
   }
@@ -373,9 +373,9 @@
 /// comparison, up to 200 ms later.
 void request_quarantine::send_missing_ends(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
   std::vector<request_fingerprint> more;
-  for (const auto& told : message.requests) {
-    const request_fingerprint request{told->high, told->low};
-    if (history_.ends(request) > told->ends.size()) {
+  for (const auto& reported : message.requests) {
+    const request_fingerprint request{reported->high, reported->low};
+    if (history_.ends(request) > reported->ends.size()) {
       more.push_back(request);
     }
   }
@@ -390,7 +390,7 @@
   environment_.after(pause, lifetime_.guard([this] { compare(); }));
   history_.forget_old(environment_.unix_milliseconds());
   std::erase_if(ends_seen_here_, [this](const request_fingerprint& request) { return history_.ends(request) == 0; });
-  keep();
+  store_list();
   counters_["quarantine_requests_known"] = static_cast<CounterValue>(history_.size());
   counters_["quarantine_requests_held_back"] = static_cast<CounterValue>(history_.held_back());
   const std::vector<PeerAddress> peers = senders_();
@@ -428,7 +428,7 @@
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionSyncT& message) {
-  take(message.requests);
+  merge_reports(message.requests);
   if (message.reply) {
     send_shared(sender, false);
   } else {
--- a/src/quarantine/request_quarantine.hpp
+++ b/src/quarantine/request_quarantine.hpp
@@ -90,7 +90,7 @@
   /// Must be called after each change to the entry of @p request: starts its undecided time and has it stored.
   void on_entry_changed(const routing::request_fingerprint& request);
   void schedule_store();
-  void keep();
+  void store_list();
   void note_unreadable(ErrorKind kind);
   void merge_marks(const std::vector<suspected_request>& marks);
   void remove_mark_if_released(const routing::request_fingerprint& request);
@@ -100,8 +100,8 @@
   wire::SuspicionNewsT compose_news(const std::vector<routing::request_fingerprint>& requests) const;
   /// Sends @p sender the entries of the requests in @p message for which this node knows more terminations.
   void send_missing_ends(const PeerAddress& sender, const wire::SuspicionNewsT& message);
-  void take(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests);
-  void take(const suspected_request& told, std::string_view learned);
+  void merge_reports(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests);
+  void merge_reports(const suspected_request& reported, std::string_view learned);
   wire::SuspicionSyncT shared_list() const;
   void send_shared(const PeerAddress& to, bool reply);
   /// Logs the requests that are no longer held back after the latest change.
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -87,7 +87,7 @@
     return wire::MemberState::Dead;
   }
   /// @return the reports of node @p number about its searches for the fleet, one line each.
-  const std::vector<std::string>& told(unsigned number) const { return nodes_[number]->told; }
+  const std::vector<std::string>& search_reports(unsigned number) const { return nodes_[number]->search_reports; }
   std::uint64_t messages() const { return messages_; }
   /// @return the bytes that node @p number has sent, excluding network headers.
   std::uint64_t bytes_sent(unsigned number) const { return nodes_[number]->bytes; }
@@ -147,10 +147,10 @@
       hooks.on_peer_revisions = [](const PeerAddress&, const TableRevisions&) {};
       hooks.on_not_found = [this](const fleet_search& search) {
         const auto alone = std::to_string(search.alone(now()) / 1s);
-        told.push_back("alone for " + alone + " s, asked " + std::to_string(search.seeds_asked));
+        search_reports.push_back("alone for " + alone + " s, asked " + std::to_string(search.seeds_asked));
       };
       hooks.on_found = [this](const fleet_search&, const PeerAddress& by, found_by who) {
-        told.push_back("found by " + std::string(name_of(who)) + " " + by.str());
+        search_reports.push_back("found by " + std::string(name_of(who)) + " " + by.str());
       };
       return hooks;
     }
@@ -190,7 +190,7 @@
     const unsigned number;
     const unsigned at;  ///< Number of its address.
     std::uint64_t bytes = 0;
-    std::vector<std::string> told;
+    std::vector<std::string> search_reports;
     SimProcess process;
     Counters counters;
     Membership membership;
@@ -367,13 +367,13 @@
   Cluster cluster(3);
   cluster.process(0).crash();
   cluster.run(15s);
-  REQUIRE(cluster.told(1).size() == 2);
-  CHECK(cluster.told(1)[0].starts_with("alone for 3 s, asked "));
-  CHECK(cluster.told(1)[1].starts_with("alone for 9 s, asked "));
+  REQUIRE(cluster.search_reports(1).size() == 2);
+  CHECK(cluster.search_reports(1)[0].starts_with("alone for 3 s, asked "));
+  CHECK(cluster.search_reports(1)[1].starts_with("alone for 9 s, asked "));
   cluster.process(0).start();
   cluster.run(3s);
-  REQUIRE(cluster.told(1).size() == 3);
-  CHECK(cluster.told(1)[2] == "found by seed 10.0.0.0:1");
+  REQUIRE(cluster.search_reports(1).size() == 3);
+  CHECK(cluster.search_reports(1)[2] == "found by seed 10.0.0.0:1");
 }
 
 // Guards against a starting node that relies on its seeds alone and never joins if they no longer exist.
@@ -387,8 +387,8 @@
   cluster.start_all({how});
   cluster.run(5s);
   CHECK(cluster.complete_views() == kNodes);
-  REQUIRE(cluster.told(7).size() == 1);
-  CHECK(cluster.told(7)[0] == "found by remembered_peer 10.0.0.3:1");
+  REQUIRE(cluster.search_reports(7).size() == 1);
+  CHECK(cluster.search_reports(7)[0] == "found by remembered_peer 10.0.0.3:1");
 }
 
 TEST_CASE("a node whose seeds answer joins through a seed before it pings remembered peers") {
@@ -399,7 +399,7 @@
   how.remembered = {kUnusedAddress, 0, 1, 2};
   cluster.restart(3, how);
   cluster.run(2s);
-  CHECK(cluster.told(3)[0].starts_with("found by seed"));
+  CHECK(cluster.search_reports(3)[0].starts_with("found by seed"));
 }
 
 TEST_CASE("a remembered address that belongs to another node by now does no harm") {
--- a/tests/quarantine/request_quarantine_test.cpp
+++ b/tests/quarantine/request_quarantine_test.cpp
@@ -329,7 +329,7 @@
 TEST_CASE("no request is held back while other nodes may still report which other requests ran on its back ends") {
   spread_fixture fixture(4);
   const request_fingerprint beside = fingerprint_of({"tenant", "POST", "/path", "another body"});
-  request_quarantine& judge = fixture.nodes[1]->quarantine;
+  request_quarantine& observer = fixture.nodes[1]->quarantine;
   const auto ends_beside = [&fixture, &beside](const std::string& backend) {
     spread_fixture::node& at = *fixture.nodes[1];
     at.quarantine.call_broke({beside, "innocent", BackendId(backend)}, [](bool) {});
@@ -342,15 +342,15 @@
       fixture.run_for(150ms);
     }
   }
-  CHECK(judge.undecided_for(beside) == request_quarantine::kUndecidedTime);
+  CHECK(observer.undecided_for(beside) == request_quarantine::kUndecidedTime);
   fixture.run_for(20ms);
   fixture.ends(0, "engine-2");
   fixture.ends(0, "engine-3");  // the second attempt of that call
   fixture.run_for(request_quarantine::kUndecidedTime + 10ms);
-  CHECK(judge.undecided_for(beside) == Duration::zero());
-  CHECK_FALSE(judge.holds_back(beside, "innocent"));
+  CHECK(observer.undecided_for(beside) == Duration::zero());
+  CHECK_FALSE(observer.holds_back(beside, "innocent"));
   CHECK(fixture.nodes[1]->counters["quarantine_begun_total"] == 1);  // only the fatal one
-  CHECK(judge.holds_back(fixture.request, "fatal"));
+  CHECK(observer.holds_back(fixture.request, "fatal"));
 }
 
 // A fatal request and a harmless one run on the same three engines, so it is not known which one crashed them. Guards
@@ -360,25 +360,25 @@
 TEST_CASE("two requests with the same terminations both wait for an event that decides between them") {
   spread_fixture fixture(2);
   const request_fingerprint beside = fingerprint_of({"tenant", "POST", "/path", "another body"});
-  request_quarantine& judge = fixture.nodes[0]->quarantine;
+  request_quarantine& observer = fixture.nodes[0]->quarantine;
   for (unsigned end = 0; end < 3; ++end) {
     const std::string backend = "engine-" + std::to_string(end);
     fixture.ends(0, backend);
-    judge.call_broke({beside, "innocent", BackendId(backend)}, [](bool) {});
+    observer.call_broke({beside, "innocent", BackendId(backend)}, [](bool) {});
   }
   fixture.run_for(request_quarantine::kUndecidedTime + 50ms);
-  CHECK(judge.undecided_for(fixture.request) > Duration::zero());
-  CHECK(judge.undecided_for(beside) > Duration::zero());
+  CHECK(observer.undecided_for(fixture.request) > Duration::zero());
+  CHECK(observer.undecided_for(beside) > Duration::zero());
   SECTION("one of them completes successfully") {
-    judge.call_answered(beside);
-    CHECK(judge.undecided_for(fixture.request) == Duration::zero());
-    CHECK(judge.holds_back(fixture.request, "fatal"));
-    CHECK_FALSE(judge.holds_back(beside, "innocent"));
+    observer.call_answered(beside);
+    CHECK(observer.undecided_for(fixture.request) == Duration::zero());
+    CHECK(observer.holds_back(fixture.request, "fatal"));
+    CHECK_FALSE(observer.holds_back(beside, "innocent"));
   }
   SECTION("no further report arrives") {
     fixture.run_for(request_quarantine::kUndecidedTimeIfAmbiguous);
-    CHECK(judge.undecided_for(beside) == Duration::zero());
-    CHECK_FALSE(judge.holds_back(beside, "innocent"));
+    CHECK(observer.undecided_for(beside) == Duration::zero());
+    CHECK_FALSE(observer.holds_back(beside, "innocent"));
   }
 }
 
