--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -158,6 +158,7 @@
     NodeId target;
     bool answered = false;
   };
+  /// An indirect probe that this node makes for another one.
   struct Relay {
     PeerAddress origin;
     std::uint64_t sequence = 0;
@@ -167,7 +168,7 @@
   void probe(const NodeId& target);
   void probe_indirectly(std::uint64_t sequence);
   void finish_probe(std::uint64_t sequence);
-  /// Pings the seeds and reports the search. Runs in each period in which no live member is known.
+  /// Pings the seeds and calls on_not_found when a report is due. Runs in each period without a live member to probe.
   void search_for_fleet();
   void begin_search(bool at_start);
   /// Ends the search for the fleet, on a message from @p sender, if a live member is known.
@@ -180,16 +181,20 @@
   bool knows_address(const PeerAddress& address) const;
   found_by classify_peer_at(const PeerAddress& address) const;
   void ping_unknown_seed();
-  /// Pings the seeds after @p pause and then at doubling intervals until a member is known.
+  /// Pings the seeds now, after @p pause and then at doubling intervals until a member is known or the interval reaches
+  /// the period.
   void ping_seeds_until_joined(Duration pause);
+  /// Pings a random dead member, and forgets members that have been dead for longer than forget_dead_after.
   void probe_dead_member();
   std::optional<NodeId> next_probe_target();
   /// @param spread whether the update is gossiped to peers; false for updates from member lists, which peers also get
   ///        from lists.
   /// @return whether the update was accepted.
   bool merge(const wire::MemberT& update, bool first_hand, bool spread);
+  /// Raises this node's incarnation if @p claim, received from another node, misstates its state or is newer.
   void refute(const wire::MemberT& claim);
   void accept_update(Entry& entry, const wire::MemberT& update, bool spread = true);
+  /// Starts an exchange of lists if @p digest differs from this node's and the last exchange is long enough ago.
   void compare_lists(const PeerAddress& sender, std::uint64_t digest);
   void send_whole_list(const PeerAddress& to, bool reply);
   void send_digests(const PeerAddress& to, bool reply);
--- a/src/quarantine/end_detector.hpp
+++ b/src/quarantine/end_detector.hpp
@@ -28,9 +28,7 @@
       : environment_(environment), counters_(counters), log_(log), client_(client) {}
 
   /// Checks whether the back end of @p call terminated.
-  /// @param done receives the result: true if the back end terminated. It runs within kCheckTimeout, possibly before
-  /// this
-  ///        returns.
+  /// @param done receives true if the back end terminated. It runs within kCheckTimeout, possibly before this returns.
   void call_broke(const routing::broken_call& call, decided done);
 
   /// Called for each broken call whose back end still accepted connections at first but terminated shortly afterwards.
@@ -48,6 +46,7 @@
   static constexpr Duration kCheckTimeout = 250ms;
 
  private:
+  /// A check of one back end, with the calls that broke since it began.
   struct pending_check {
     std::vector<decided> waiting;
     std::vector<routing::broken_call> calls;
--- a/src/quarantine/end_history.cpp
+++ b/src/quarantine/end_history.cpp
@@ -140,7 +140,7 @@
 }
 
 /// Adds requests that have kMaxEnds terminations, early or not, of which at least kEndsToHoldBack are not explained by
-/// a guilty request. An example are two requests that always ran together.
+/// a fatal request. An example are two requests that always ran together.
 void end_history::add_with_max_ends(std::set<request_fingerprint>& fatal) const {
   std::set<request_fingerprint> more;
   for (const auto& [request, known] : requests_) {
--- a/src/quarantine/end_history.hpp
+++ b/src/quarantine/end_history.hpp
@@ -18,7 +18,7 @@
 /// rather than ages, since an age would be outdated by the transmission time.
 using UnixMilliseconds = std::uint64_t;
 
-/// A termination of a back end.
+/// A termination of a back end, called end in messages, stored data and metrics.
 struct backend_end {
   BackendId backend;
   UnixMilliseconds at = 0;
@@ -41,21 +41,21 @@
 /// are kept are bounded. Single threaded.
 class end_history {
  public:
-  /// Early terminations (soon after the run began) at which a request is held back. Each crash of an engine is recorded
-  /// for all requests that ran there. A batch item that runs for some seconds and is moved to another engine each time
-  /// occasionally sees three crashes, but rarely just after it began each time. Terminations shared with another
-  /// request that has as many do not count, since a request that repeatedly runs beside a fatal one shares its
+  /// Early terminations (soon after the run began) at which a request is quarantined. Each crash of an engine is
+  /// recorded for all requests that ran there. A batch item that runs for some seconds and is moved to another engine
+  /// each time occasionally sees three crashes, but rarely just after it began each time. Terminations shared with
+  /// another request that has as many do not count, since a request that repeatedly runs beside a fatal one shares its
   /// terminations. With all terminations counted alike, one harmless item failed in 60 simulated schedules in which
   /// every third action sends a fatal request.
   static constexpr std::size_t kEndsToHoldBack = 3;
-  /// With this many terminations, early or not, a request is held back regardless of which others ran beside it, unless
-  /// requests that are already held back explain them. Further terminations are not stored.
+  /// With this many terminations, early or not, a request is quarantined regardless of which others ran beside it,
+  /// unless requests that are already quarantined explain them. Further terminations are not stored.
   static constexpr std::size_t kMaxEnds = 5;
   /// Capacity in entries of about 300 bytes each. Entries with the fewest terminations are evicted first, among these
   /// the ones with the oldest last event.
   static constexpr std::size_t kMaxRequests = 1024;
-  /// Retention time since the last event. Refusals count as events, so a request that callers keep sending stays held
-  /// back.
+  /// Retention time since the last event. Refusals count as events, so a request that callers keep sending stays
+  /// quarantined.
   static constexpr UnixMilliseconds kRetentionMs = 15 * 60 * 1000;
   /// Two reports about one back end within this time are the same termination: a back end needs longer to restart and
   /// terminate again under the same id.
@@ -71,6 +71,7 @@
   /// Adds what another node knows about a request.
   /// @return whether this added or removed a termination.
   bool merge(const suspected_request& other, UnixMilliseconds now);
+  /// Records that @p request was refused at @p now.
   void note_held_back(const routing::request_fingerprint& request, UnixMilliseconds now);
   void forget_old(UnixMilliseconds now);
 
@@ -84,11 +85,12 @@
   /// @return the other request that shares the most terminations with @p request, if any does.
   std::optional<routing::request_fingerprint> request_sharing_most_ends(
       const routing::request_fingerprint& request) const;
-  /// @return whether @p request is held back and has more than three terminations: another back end terminated when it
-  ///         was retried once, or five terminated in all.
+  /// @return whether @p request is quarantined and has more than three terminations: another back end terminated when
+  ///         it was retried once, or five terminated in all.
   bool beyond_doubt(const routing::request_fingerprint& request) const;
   bool empty() const { return requests_.empty(); }
   std::size_t size() const { return requests_.size(); }
+  /// @return the number of requests that are quarantined.
   std::size_t held_back() const;
   /// @return up to @p most entries to send to a node whose digest differs: requests with two or more terminations, and
   ///         those that completed successfully. Entries with a single termination are left out, since each crash
@@ -112,22 +114,22 @@
   /// A request and those of its early terminations that no request with more of them explains.
   struct candidate {
     const suspected_request* suspect = nullptr;
-    std::vector<backend_end> left;
+    std::vector<backend_end> left;  ///< The early terminations that are not explained by other requests.
   };
   struct classification {
-    std::set<routing::request_fingerprint> fatal;
-    std::set<routing::request_fingerprint> ambiguous;
+    std::set<routing::request_fingerprint> fatal;      ///< Requests to quarantine.
+    std::set<routing::request_fingerprint> ambiguous;  ///< Requests that may have caused terminations they share.
   };
   const classification& classified() const;
   classification find_fatal() const;
   /// Classifies the requests of @p round, which all have the same number of terminations left, and adds them to
-  /// @p found: those that have three which they do not share are guilty.
+  /// @p found: those that have three which they do not share are fatal.
   static void classify_round(const std::vector<candidate>& round, classification& found);
   /// @return the remaining terminations of @p one that none of @p others shares.
   static std::vector<backend_end> unshared_ends(const candidate& one, const std::vector<candidate>& others);
   static void erase_shared(std::vector<backend_end>& ends, const std::vector<backend_end>& others);
   void add_with_max_ends(std::set<routing::request_fingerprint>& fatal) const;
-  /// Keeps among the ambiguous requests only those with three terminations that no guilty request explains.
+  /// Keeps among the ambiguous requests only those with three terminations that no fatal request explains.
   void drop_explained(classification& found) const;
   void evict_one();
 
--- a/src/quarantine/held_back_marks.cpp
+++ b/src/quarantine/held_back_marks.cpp
@@ -61,7 +61,7 @@
       marks.push_back(parse_mark(value.as_object()));
     }
   } catch (const std::exception& failure) {
-    return Error{ErrorKind::corrupted, std::string("held-back requests: ") + failure.what()};
+    return Error{ErrorKind::corrupted, std::string("cannot parse the list of quarantined requests: ") + failure.what()};
   }
   return marks;
 }
--- a/src/quarantine/held_back_marks.hpp
+++ b/src/quarantine/held_back_marks.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Stores a list of the requests that are held back in the platform's store, so that it survives the loss of all
-/// nodes that know them.
+/// @file Stores a list of the requests that are quarantined in the platform's store, so that it survives the loss of
+/// all nodes that know them.
 
 #include <functional>
 #include <optional>
@@ -26,9 +26,9 @@
 /// @return the marks in @p body; ErrorKind::corrupted when they cannot be read.
 Result<std::vector<suspected_request>> parse_marks(const std::string& body);
 
-/// Reads the list once when the node starts, and adds a request to it when the request is first held back. If the store
-/// is unavailable, the operation is retried up to kMaxAttempts times with growing delays; nothing waits for it. Single
-/// threaded.
+/// Reads the list once when the node starts, and adds a request to it when the request is first quarantined. If the
+/// store is unavailable, the operation is retried up to kMaxAttempts times with growing delays; nothing waits for it.
+/// Single threaded.
 class held_back_marks {
  public:
   /// Receives the entries of the list after each read.
@@ -42,7 +42,7 @@
 
   /// Reads the list.
   void read();
-  /// Adds @p request to the list, or removes it if it is no longer held back.
+  /// Adds @p request to the list, or removes it if it is no longer quarantined.
   void write(const routing::request_fingerprint& request);
   /// @return whether the list contained @p request when this node last read or wrote it.
   bool holds(const routing::request_fingerprint& request) const { return listed_.contains(request); }
@@ -61,9 +61,9 @@
   void put(std::uint64_t revision, const std::vector<suspected_request>& marks);
   void retry(ErrorKind kind);
   void finish();
-  /// @return the list to write: the entries of @p stored and of writing_ that are held back, as this node knows them.
+  /// @return the list to write: the entries of @p stored and of writing_ that are quarantined, as this node knows them.
   std::vector<suspected_request> updated_list(const std::vector<suspected_request>& stored) const;
-  /// @return whether @p stored needs no change: it lists exactly those requests of writing_ that are held back.
+  /// @return whether @p stored needs no change: it lists exactly those requests of writing_ that are quarantined.
   bool is_up_to_date(const std::vector<suspected_request>& stored) const;
 
   Environment& environment_;
--- a/src/quarantine/news_delivery.hpp
+++ b/src/quarantine/news_delivery.hpp
@@ -15,9 +15,9 @@
 
 /// Sends a datagram to every peer and repeats it to those that have not acknowledged it, with delays that grow by half:
 /// nine times within 400 ms, so that all of a hundred nodes receive it on a network that loses 30 of 100 datagrams. A
-/// peer that never acknowledged (an earlier version without acknowledgements, or an unreachable node) is sent only a
-/// few copies of later messages until it acknowledges one. Messages, attempts and time are bounded; updates that were
-/// not delivered are exchanged later when nodes compare their lists. Single threaded.
+/// peer that left all copies of a message unacknowledged (an earlier version without acknowledgements, or an
+/// unreachable node) is sent only a few copies of later messages until it acknowledges one. Messages, attempts and time
+/// are bounded; updates that were not delivered are exchanged later when nodes compare their lists. Single threaded.
 class news_delivery {
  public:
   /// @return the peer addresses of all other nodes that must receive the updates.
@@ -54,8 +54,8 @@
  private:
   struct message {
     std::vector<routing::request_fingerprint> requests;
-    std::set<PeerAddress> told;
-    std::set<PeerAddress> unanswered;
+    std::set<PeerAddress> told;        ///< Peers that the message is or was sent to.
+    std::set<PeerAddress> unanswered;  ///< Of these, the peers that have not acknowledged it.
     unsigned attempts = 0;
     Duration delay{};
     Timestamp started_at{};
@@ -76,7 +76,7 @@
   const compose compose_news_;
   const bool gives_up_;
   std::map<std::uint64_t, message> open_;
-  std::set<PeerAddress> unresponsive_;
+  std::set<PeerAddress> unresponsive_;  ///< Peers that left all attempts of a message unacknowledged.
   std::uint64_t next_number_;
   Lifetime lifetime_;
 };
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -12,7 +12,7 @@
 /// A run that had produced output for this long is taken as an unlikely cause. Engines that a request crashed
 /// terminated 20 to 110 ms after its run began, and most live replies take some 700 ms.
 constexpr Duration kAdvancedAfter = 250ms;
-/// Age of the last termination at which a held-back request may be retried. By then the terminated engines have
+/// Age of the last termination at which a quarantined request may be retried. By then the terminated engines have
 /// restarted, and requests that ran beside it have completed or are suspected themselves.
 constexpr UnixMilliseconds kRetrialAfterMs = 15'000;
 /// Entries per list, about 20 KB.
@@ -85,7 +85,7 @@
   environment_.after(kCompareInterval, lifetime_.guard([this] { compare(); }));
 }
 
-/// A single comparison may be lost, and the node would then send requests that other nodes hold back.
+/// A single comparison may be lost, and the node would then send requests that other nodes quarantine.
 void request_quarantine::request_list_at_start() {
   if (list_received_ || !guards_.tell_others || environment_.now() - started_at_ > kListRequestPeriod) {
     return;
@@ -136,8 +136,8 @@
   }
 }
 
-/// Removes a request from the list in the platform's store after one of its runs, already under way when it was held
-/// back, completed successfully.
+/// Removes a request from the list in the platform's store after one of its runs, already under way when it was
+/// quarantined, completed successfully.
 void request_quarantine::remove_mark_if_released(const request_fingerprint& request) {
   if (marks_ && marks_->holds(request) && history_.ends(request) < end_history::kEndsToHoldBack) {
     marks_->write(request);
--- a/src/quarantine/request_quarantine.hpp
+++ b/src/quarantine/request_quarantine.hpp
@@ -20,15 +20,15 @@
   bool hold_back = true;      ///< A request under which three back ends have terminated is not sent again.
   bool tell_others = true;    ///< Each termination is sent to the other nodes.
   bool await_news = true;     ///< No decision is made while other nodes may still report related terminations.
-  bool mark_in_store = true;  ///< Requests that are held back are listed in the platform's store.
-  /// Unacknowledged updates are abandoned and do not delay holding a request back: earlier versions never acknowledge.
+  bool mark_in_store = true;  ///< Requests that are quarantined are listed in the platform's store.
+  /// Unacknowledged updates are abandoned and do not delay quarantining a request: earlier versions never acknowledge.
   bool bound_answers = true;
 };
 
 /// Each termination is sent to all nodes that send requests until each has acknowledged it. A node that missed updates
 /// because it was partitioned, frozen or not running obtains them by comparing digests with one node every
 /// kCompareInterval and by requesting a list when it starts. The platform's store is read once at the start and written
-/// for each request that is held back; nothing waits for it. Single threaded.
+/// for each request that is quarantined; nothing waits for it. Single threaded.
 class request_quarantine : public routing::repeat_guard {
  public:
   /// @return the peer addresses of all other nodes that send requests to back ends.
@@ -44,9 +44,9 @@
   /// Loads the shared entries from @p storage and from now on keeps them there. They survive a loss of power on all
   /// machines, after which each fatal request would otherwise crash three more engines. @p storage outlives this.
   void keep_in(ledger::Storage& storage);
-  /// Loads the list of held-back requests from the platform's store and from now on adds to it the requests under which
-  /// this node saw back ends terminate. This covers the case that a single node without a disk knows of a request while
-  /// all others are stopped or have lost power. @p platform outlives this.
+  /// Loads the list of quarantined requests from the platform's store and from now on adds to it the requests under
+  /// which this node saw back ends terminate. This covers the case that a single node without a disk knows of a request
+  /// while all others are stopped or have lost power. @p platform outlives this.
   void mark_in(object_store::PlatformClient& platform);
 
   bool remembers_any() const override { return !history_.empty(); }
@@ -89,10 +89,12 @@
   void record_end(const routing::broken_call& call);
   /// Must be called after each change to the entry of @p request: starts its undecided time and has it stored.
   void on_entry_changed(const routing::request_fingerprint& request);
+  /// Writes the list to the disk after kStoreDelay.
   void schedule_store();
   void store_list();
   void note_unreadable(ErrorKind kind);
   void merge_marks(const std::vector<suspected_request>& marks);
+  /// Removes @p request from the list in the platform's store if it has too few terminations by now.
   void remove_mark_if_released(const routing::request_fingerprint& request);
   /// Sends the entry of @p request to all other nodes, in one message with other changes within kBatchWindow.
   void queue_report(const routing::request_fingerprint& request);
@@ -104,10 +106,13 @@
   void merge_reports(const suspected_request& reported, std::string_view learned);
   wire::SuspicionSyncT shared_list() const;
   void send_shared(const PeerAddress& to, bool reply);
-  /// Logs the requests that are no longer held back after the latest change.
+  /// Logs the requests that are no longer quarantined after the latest change and removes them from quarantined_.
   void log_released();
-  /// Logs @p event with the reason why @p request is not held back and the request that shares most terminations.
+  /// Logs @p event with the reason why @p request is not quarantined and the request that shares most terminations.
   void log_not_held_back(std::string_view event, const routing::request_fingerprint& request, std::string_view learned);
+  /// Logs whether @p request is quarantined, once it has three terminations and is decided, and lists it in the store.
+  /// @param before whether it was quarantined before the latest change.
+  /// @param learned how this node learned of that change, for the log.
   void hold_back_when_decided(const routing::request_fingerprint& request, bool before, std::string_view learned);
 
   Environment& environment_;
@@ -129,7 +134,7 @@
   ledger::Storage* storage_ = nullptr;  ///< Only on nodes with a disk.
   std::uint64_t stored_digest_ = 0;
   std::unique_ptr<held_back_marks> marks_;                 ///< Null without a platform store.
-  std::set<routing::request_fingerprint> quarantined_;     ///< Logged as held back.
+  std::set<routing::request_fingerprint> quarantined_;     ///< Logged as quarantined.
   std::set<routing::request_fingerprint> ends_seen_here_;  ///< This node saw a back end terminate under these.
   Lifetime lifetime_;
 };
--- a/tests/quarantine/end_history_test.cpp
+++ b/tests/quarantine/end_history_test.cpp
@@ -125,7 +125,7 @@
   }
 }
 
-// Guards against holding back a harmless batch item that ran beside two fatal requests and a third one, on five engines
+// Guards against quarantining a harmless batch item that ran beside two fatal requests and a third one, on five engines
 // that terminated within six seconds. It has as many early terminations as each fatal request, so it seemed to explain
 // theirs, and five of any kind used to suffice regardless of the others. Times and engines are those of hardening
 // schedule 360, in which this happened.
--- a/tests/quarantine/held_back_marks_test.cpp
+++ b/tests/quarantine/held_back_marks_test.cpp
@@ -1,4 +1,4 @@
-// Tests the list of held-back requests in the platform's store: it is written once for each request and read at the
+// Tests the list of quarantined requests in the platform's store: it is written once for each request and read at the
 // start, and nothing waits for a store that is unavailable.
 #include "quarantine/held_back_marks.hpp"
 
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-TEST_CASE("a starting node reads the requests that are held back") {
+TEST_CASE("a starting node reads the requests that are quarantined") {
   marks_fixture fixture;
   fixture.one.hold_back(fixture.fatal);
   fixture.run_for(1s);
@@ -117,7 +117,7 @@
   CHECK(fixture.store.writes == 1);
 }
 
-TEST_CASE("a request that several nodes hold back is written once") {
+TEST_CASE("a request that several nodes quarantine is written once") {
   marks_fixture fixture;
   fixture.one.hold_back(fixture.fatal);
   fixture.run_for(1s);
@@ -179,7 +179,7 @@
   CHECK(fixture.listed().size() == 1);
 }
 
-TEST_CASE("a request that is no longer held back is removed from the list") {
+TEST_CASE("a request that is no longer quarantined is removed from the list") {
   marks_fixture fixture;
   fixture.one.hold_back(fixture.fatal);
   fixture.one.hold_back(with_ends("another body", 1'000));
--- a/tests/quarantine/request_quarantine_test.cpp
+++ b/tests/quarantine/request_quarantine_test.cpp
@@ -129,7 +129,7 @@
 
 }  // namespace
 
-TEST_CASE("three terminations seen by three nodes hold a request back on all nodes within milliseconds") {
+TEST_CASE("three terminations seen by three nodes quarantine a request on all nodes within milliseconds") {
   for (const unsigned count : {8U, 50U, 250U}) {
     INFO(count << " nodes");
     spread_fixture fixture(count);
@@ -185,7 +185,7 @@
 
 // Guards against a digest over the number of terminations only. Two nodes that were partitioned know two different
 // terminations of a request each, four in all. Their digests would be equal, so neither would send its list and the
-// request would not be held back.
+// request would not be quarantined.
 TEST_CASE("nodes that know different terminations of a request exchange them") {
   spread_fixture fixture(2);
   fixture.cut_off(0, true);
@@ -202,8 +202,8 @@
 }
 
 // Guards against a node that compares once at its start and next after 500 ms. If the first message is lost (here the
-// node is disconnected for its first 30 ms), it sends held-back requests to back ends until then.
-TEST_CASE("a node that has just started requests the list of held-back requests repeatedly") {
+// node is disconnected for its first 30 ms), it sends quarantined requests to back ends until then.
+TEST_CASE("a node that has just started requests the list of quarantined requests repeatedly") {
   spread_fixture fixture(20);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(end, "engine-" + std::to_string(end));
@@ -217,9 +217,9 @@
 }
 
 // Guards against a starting node that discards old terminations of a request that is still refused. Callers keep
-// sending the request for longer than terminations are kept, so it stays held back; the new node would send it to one
+// sending the request for longer than terminations are kept, so it stays quarantined; the new node would send it to one
 // more back end.
-TEST_CASE("a starting node accepts a held-back request whose terminations are older than they are kept otherwise") {
+TEST_CASE("a starting node accepts a quarantined request whose terminations are older than they are kept otherwise") {
   spread_fixture fixture(4);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(end, "engine-" + std::to_string(end));
@@ -270,7 +270,7 @@
   CHECK(fixture.holding_back() == 50);
 }
 
-TEST_CASE("a request is held back on all nodes although their clocks differ by two seconds") {
+TEST_CASE("a request is quarantined on all nodes although their clocks differ by two seconds") {
   spread_fixture fixture(20);
   for (unsigned number = 0; number < 20; ++number) {
     fixture.nodes[number]->environment.skew_ms = number * 100;
@@ -302,7 +302,7 @@
   CHECK(fixture.nodes[0]->quarantine.history().empty());
 }
 
-TEST_CASE("held-back requests are read from the disk at the start, and a corrupted record is counted") {
+TEST_CASE("quarantined requests are read from the disk at the start, and a corrupted record is counted") {
   simulation::World world(1);
   simulation::SimProcess process(world);
   process.start();
@@ -326,7 +326,7 @@
 // A harmless request runs on three back ends that a fatal one crashes. The node that sent the harmless one has seen all
 // three terminations, while the report of the fatal one's third arrives 2 ms later. Until then only the harmless one
 // has three.
-TEST_CASE("no request is held back while other nodes may still report which other requests ran on its back ends") {
+TEST_CASE("no request is quarantined while other nodes may still report which other requests ran on its back ends") {
   spread_fixture fixture(4);
   const request_fingerprint beside = fingerprint_of({"tenant", "POST", "/path", "another body"});
   request_quarantine& observer = fixture.nodes[1]->quarantine;
@@ -354,7 +354,7 @@
 }
 
 // A fatal request and a harmless one run on the same three engines, so it is not known which one crashed them. Guards
-// against sending both again after 100 ms, which crashed a fourth engine; with five terminations both were held back
+// against sending both again after 100 ms, which crashed a fourth engine; with five terminations both were quarantined
 // permanently. Seen in the simulation with seed 512 at 200 ms between repeats (sent at 7412 ms, 10 ms after the
 // harmless one's successful run that decided it) and with seed 2 at 100 ms.
 TEST_CASE("two requests with the same terminations both wait for an event that decides between them") {
@@ -384,7 +384,7 @@
 
 // Guards against a list that is stored only at the next comparison, up to 500 ms after the third termination. If all
 // nodes lose power 60 ms after it, the list is lost and three more engines crash.
-TEST_CASE("held-back requests are on the disk before the next comparison") {
+TEST_CASE("quarantined requests are on the disk before the next comparison") {
   simulation::World world(1);
   simulation::SimProcess process(world);
   process.start();
