--- a/src/membership/member_lists.cpp
+++ b/src/membership/member_lists.cpp
@@ -1,4 +1,4 @@
-/// @file Exchange of whole member lists between nodes that differ.
+/// @file Anti-entropy: exchange of member lists between nodes whose lists differ.
 
 #include <algorithm>
 
@@ -10,16 +10,16 @@
 using wire::MemberState;
 using wire::MemberT;
 
-// Single updates cannot carry a storm: when a whole fleet starts at once, each node would have
-// to pass on hundreds of them, six a message. Probes carry a digest of the live members, and
-// nodes that differ exchange the parts of their lists that differ: after a change of one member
-// that is one part of 64, not the whole list of 1,000 members from each node.
+// Gossip of single updates does not scale to a burst of changes: when a whole fleet starts at once, each node would
+// have to forward hundreds of updates at six per message. Probes therefore carry a digest of the live members, and
+// nodes whose digests differ exchange only the parts of their lists that differ. A change of one member costs one
+// part of 64 instead of the whole list of 1,000 members from each node.
 
 namespace {
 
-constexpr std::size_t kParts = 64;
+constexpr std::size_t kListParts = 64;
 
-std::size_t part_of(const std::string& id) { return stable_hash(id) % kParts; }
+std::size_t part_of(const std::string& id) { return stable_hash(id) % kListParts; }
 
 }  // namespace
 
@@ -36,12 +36,12 @@
     return;
   }
   last_sync_ = environment_.now();
-  sync_interval_ = std::clamp(sync_interval_ * 2, options_.least_sync_interval, options_.most_sync_interval);
-  send_digests(list_partner(sender), true);
+  sync_interval_ = std::clamp(sync_interval_ * 2, options_.min_sync_interval, options_.max_sync_interval);
+  send_digests(choose_sync_peer(sender), true);
 }
 
 std::vector<std::uint64_t> Membership::part_digests() const {
-  std::vector<std::uint64_t> digests(kParts);
+  std::vector<std::uint64_t> digests(kListParts);
   digests[part_of(self_.id)] ^= digest_of(self_);
   for (const auto& [node, entry] : members_) {
     digests[part_of(entry.member.id)] ^= digest_of(entry.member);
@@ -58,8 +58,8 @@
 }
 
 void Membership::handle(const PeerAddress& sender, const wire::MemberDigestsT& message) {
-  if (message.parts.size() != kParts) {
-    send_whole_list(sender, true);  // of a version that divides its list otherwise
+  if (message.parts.size() != kListParts) {
+    send_whole_list(sender, true);  // the sender runs a version that partitions its list differently
     return;
   }
   const std::vector<std::uint64_t> own = part_digests();
@@ -84,9 +84,9 @@
   }
 }
 
-/// Who starts hears first of the seeds, and so does everybody else who starts then: their lists would go to all, over
-/// one link.
-PeerAddress Membership::list_partner(const PeerAddress& differs) {
+/// A starting node usually hears from a seed first. When many nodes start together, exchanging lists with the seeds
+/// would send a list to each of them over the seeds' links, so another peer is preferred until the fleet is known.
+PeerAddress Membership::choose_sync_peer(const PeerAddress& differs) {
   if (knows_fleet() || std::find(seeds_.begin(), seeds_.end(), differs) == seeds_.end()) {
     return differs;
   }
@@ -114,9 +114,9 @@
     changed = merge(*member, false, false) || changed;
   }
   if (changed) {
-    sync_interval_ = options_.least_sync_interval;
+    sync_interval_ = options_.min_sync_interval;
   }
-  note_word(sender);
+  end_search_if_member_known(sender);
   if (message.reply) {
     send_whole_list(sender, false);
   }
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -7,25 +7,30 @@
 
 using routing::request_fingerprint;
 
-/// Calls that broke with one back end are told in one message.
-constexpr Duration kTogether = 1ms;
-/// Engines that ended under a request ended 20 to 110 ms after its run began. Most live replies take some 700 ms.
-constexpr Duration kAdvanced = 250ms;
-/// By then the engines that ended are back, and what ran beside the request has come to its end or is suspected itself.
+/// Changes within this time share one message, so that calls that broke with one back end are sent together.
+constexpr Duration kBatchWindow = 1ms;
+/// A run that had produced output for this long is taken as an unlikely cause. Engines that a request crashed
+/// terminated 20 to 110 ms after its run began, and most live replies take some 700 ms.
+constexpr Duration kAdvancedAfter = 250ms;
+/// Age of the last termination at which a quarantined request may be retried. By then the terminated engines have
+/// restarted, and requests that ran beside it have completed or are suspected themselves.
 constexpr UnixMilliseconds kRetrialAfterMs = 15'000;
-/// About 20 KB.
-constexpr std::size_t kMostInOneList = 128;
-/// Between lists: nodes that differ for good, since one has no room, shall not do nothing else.
-constexpr Duration kBetweenLists = 200ms;
-/// A node that has just started asks again after it: a list of 20 KB has come back by then.
-constexpr Duration kAskAgain = 50ms;
-/// By then the comparisons have begun, and the node has found the others or has none.
-constexpr Duration kAskFor = 5s;
-/// A node that knows nothing has asked at its start instead; what it missed comes with the others' comparisons, too.
-constexpr Duration kAskedInstead = 1'400ms;
-/// What comes together is written together; a loss of power in between costs it.
-constexpr Duration kKeepSoon = 20ms;
-/// Apart from the keys of the ledger, which begin with other letters.
+/// Entries per list, about 20 KB.
+constexpr std::size_t kMaxRequestsPerList = 128;
+/// Minimum time between lists sent after a comparison. Nodes can differ permanently if one has no room for an entry;
+/// they must not exchange lists without pause.
+constexpr Duration kMinListInterval = 200ms;
+/// A node that has just started repeats its request for a list after this time, which suffices to receive 20 KB.
+constexpr Duration kListRequestInterval = 50ms;
+/// How long a node requests lists after its start. By then comparisons have begun, and the node has joined the fleet or
+/// is alone.
+constexpr Duration kListRequestPeriod = 5s;
+/// For this time after its start a node without entries starts no comparison, since it requests lists instead. It also
+/// receives missed entries through comparisons that other nodes start.
+constexpr Duration kNoComparisonAfterStart = 1'400ms;
+/// Delay of a write to disk, so that changes within it are written together. They are lost if power fails before.
+constexpr Duration kStoreDelay = 20ms;
+/// Key in the node's storage. The keys of the ledger begin with other letters.
 constexpr char kStoredKey[] = "q/suspected";
 
 std::unique_ptr<wire::SuspectedRequestT> to_wire(const suspected_request& known) {
@@ -35,24 +40,24 @@
   message->answered_at_ms = known.answered_at;
   message->held_back_at_ms = known.held_back_at;
   for (const backend_end& end : known.ends) {
-    auto told = std::make_unique<wire::BackendEndT>();
-    told->backend = end.backend.str();
-    told->at_ms = end.at;
-    told->advanced = end.advanced;
-    message->ends.push_back(std::move(told));
+    auto reported = std::make_unique<wire::BackendEndT>();
+    reported->backend = end.backend.str();
+    reported->at_ms = end.at;
+    reported->advanced = end.advanced;
+    message->ends.push_back(std::move(reported));
   }
   return message;
 }
 
 suspected_request from_wire(const wire::SuspectedRequestT& message) {
-  suspected_request told;
-  told.request = {message.high, message.low};
-  told.answered_at = message.answered_at_ms;
-  told.held_back_at = message.held_back_at_ms;
+  suspected_request reported;
+  reported.request = {message.high, message.low};
+  reported.answered_at = message.answered_at_ms;
+  reported.held_back_at = message.held_back_at_ms;
   for (const auto& end : message.ends) {
-    told.ends.push_back({BackendId(end->backend), end->at_ms, end->advanced});
+    reported.ends.push_back({BackendId(end->backend), end->at_ms, end->advanced});
   }
-  return told;
+  return reported;
 }
 
 }  // namespace
@@ -69,20 +74,20 @@
       guards_(guards),
       delivery_(
           environment, counters, log, senders_,
-          [this](const std::vector<request_fingerprint>& requests) { return news_of(requests); },
+          [this](const std::vector<request_fingerprint>& requests) { return compose_news(requests); },
           guards.bound_answers) {
   detector_.on_late_end = lifetime_.guard([this](const routing::broken_call& call) { record_end(call); });
 }
 
 void request_quarantine::start() {
   started_at_ = environment_.now();
-  ask_at_start();
-  environment_.after(kCompare, lifetime_.guard([this] { compare(); }));
+  request_list_at_start();
+  environment_.after(kCompareInterval, lifetime_.guard([this] { compare(); }));
 }
 
-/// The first comparison may be lost, and the node would send on what others hold back.
-void request_quarantine::ask_at_start() {
-  if (answered_at_start_ || !guards_.tell_others || environment_.now() - started_at_ > kAskFor) {
+/// A single comparison may be lost, and the node would then send requests that other nodes quarantine.
+void request_quarantine::request_list_at_start() {
+  if (list_received_ || !guards_.tell_others || environment_.now() - started_at_ > kListRequestPeriod) {
     return;
   }
   const std::vector<PeerAddress> peers = senders_();
@@ -90,7 +95,7 @@
     counters_["quarantine_asked_at_start_total"]++;
     send_shared(peers[environment_.random() % peers.size()], true);
   }
-  environment_.after(kAskAgain, lifetime_.guard([this] { ask_at_start(); }));
+  environment_.after(kListRequestInterval, lifetime_.guard([this] { request_list_at_start(); }));
 }
 
 void request_quarantine::keep_in(ledger::Storage& storage) {
@@ -106,9 +111,9 @@
       note_unreadable(ErrorKind::corrupted);
       return;
     }
-    take(list->requests);
+    merge_reports(list->requests);
   }
-  kept_digest_ = history_.digest();
+  stored_digest_ = history_.digest();
 }
 
 void request_quarantine::mark_in(object_store::PlatformClient& platform) {
@@ -117,7 +122,7 @@
   }
   marks_ = std::make_unique<held_back_marks>(
       environment_, counters_, log_, platform,
-      [this](const std::vector<suspected_request>& marks) { take_marks(marks); },
+      [this](const std::vector<suspected_request>& marks) { merge_marks(marks); },
       [this](const request_fingerprint& request) {
         const suspected_request* known = history_.find(request);
         return known == nullptr ? std::nullopt : std::optional(*known);
@@ -125,46 +130,47 @@
   marks_->read();
 }
 
-void request_quarantine::take_marks(const std::vector<suspected_request>& marks) {
+void request_quarantine::merge_marks(const std::vector<suspected_request>& marks) {
   for (const suspected_request& mark : marks) {
-    take(mark, "read");
+    merge_reports(mark, "read");
   }
 }
 
-/// A request that is held back and still came to a good end (a run that was under way) leaves the list again.
-void request_quarantine::unmark(const request_fingerprint& request) {
+/// Removes a request from the list in the platform's store after one of its runs, already under way when it was
+/// quarantined, completed successfully.
+void request_quarantine::remove_mark_if_released(const request_fingerprint& request) {
   if (marks_ && marks_->holds(request) && history_.ends(request) < end_history::kEndsToHoldBack) {
     marks_->write(request);
   }
 }
 
-/// It is written again at the next change; the other nodes with a disk have the list, too.
+/// An unreadable list is replaced at the next change; the other nodes with a disk have the list as well.
 void request_quarantine::note_unreadable(ErrorKind kind) {
   counters_["quarantine_stored_unreadable_total"]++;
   log_.record("quarantine_unreadable", {{"error", error_kind_name(kind)}});
 }
 
-/// Not with the next comparison only: all nodes may lose power before it.
-void request_quarantine::keep_soon() {
-  if (storage_ == nullptr || keeps_soon_) {
+/// Does not wait for the next comparison, since all nodes may lose power before it.
+void request_quarantine::schedule_store() {
+  if (storage_ == nullptr || store_scheduled_) {
     return;
   }
-  keeps_soon_ = true;
-  environment_.after(kKeepSoon, lifetime_.guard([this] {
-    keeps_soon_ = false;
-    keep();
+  store_scheduled_ = true;
+  environment_.after(kStoreDelay, lifetime_.guard([this] {
+    store_scheduled_ = false;
+    store_list();
   }));
 }
 
-void request_quarantine::keep() {
-  if (storage_ == nullptr || kept_digest_ == history_.digest()) {
+void request_quarantine::store_list() {
+  if (storage_ == nullptr || stored_digest_ == history_.digest()) {
     return;
   }
-  kept_digest_ = history_.digest();
+  stored_digest_ = history_.digest();
   storage_->put(kStoredKey, wire::encode_record(shared_list()));
   storage_->flush(lifetime_.guard([this](const Status& flushed) {
     if (!succeeded(flushed)) {
-      kept_digest_ = 0;  // once more at the next comparison
+      stored_digest_ = 0;  // retry at the next comparison
       counters_["quarantine_not_stored_total"]++;
       log_.record("quarantine_not_stored", {{"error", error_kind_name(error_of(flushed).kind)}});
     }
@@ -175,7 +181,7 @@
   if (!guards_.hold_back || !history_.holds_back(request)) {
     return false;
   }
-  if (!guards_.bound_answers && delivery_.awaits(request)) {
+  if (!guards_.bound_answers && delivery_.awaits_acknowledgement(request)) {
     return false;
   }
   const UnixMilliseconds now = environment_.unix_milliseconds();
@@ -192,39 +198,39 @@
 Duration request_quarantine::undecided_for(const request_fingerprint& request) const {
   const suspected_request* known = history_.find(request);
   const bool several = known != nullptr && known->ends.size() + 1 >= end_history::kEndsToHoldBack;
-  if (!several || !guards_.hold_back || !guards_.await_news || known->ends.size() >= end_history::kMostEnds) {
+  if (!several || !guards_.hold_back || !guards_.await_news || known->ends.size() >= end_history::kMaxEnds) {
     return Duration::zero();
   }
   const auto changed = changed_at_.find(request);
   if (changed == changed_at_.end()) {
     return Duration::zero();
   }
-  const Duration patience = history_.is_ambiguous(request) ? kUndecidedAmong : kUndecided;
-  return std::max(Duration::zero(), changed->second + patience - environment_.now());
+  const Duration undecided_time = history_.is_ambiguous(request) ? kUndecidedTimeIfAmbiguous : kUndecidedTime;
+  return std::max(Duration::zero(), changed->second + undecided_time - environment_.now());
 }
 
-void request_quarantine::note_change(const request_fingerprint& request) {
+void request_quarantine::on_entry_changed(const request_fingerprint& request) {
   const Timestamp now = environment_.now();
-  std::erase_if(changed_at_, [now](const auto& entry) { return entry.second + kUndecidedAmong < now; });
+  std::erase_if(changed_at_, [now](const auto& entry) { return entry.second + kUndecidedTimeIfAmbiguous < now; });
   changed_at_[request] = now;
-  keep_soon();
-  note_released();
+  schedule_store();
+  log_released();
 }
 
-void request_quarantine::note_released() {
+void request_quarantine::log_released() {
   std::erase_if(quarantined_, [this](const request_fingerprint& request) {
     if (history_.holds_back(request)) {
       return false;
     }
-    note_verdict("request_released", request, "heard");
+    log_not_held_back("request_released", request, "heard");
     return true;
   });
 }
 
-void request_quarantine::note_verdict(std::string_view event, const request_fingerprint& request,
-                                      std::string_view learned) {
+void request_quarantine::log_not_held_back(std::string_view event, const request_fingerprint& request,
+                                           std::string_view learned) {
   const std::size_t ends = history_.ends(request);
-  const std::optional<request_fingerprint> other = history_.shares_most(request);
+  const std::optional<request_fingerprint> other = history_.request_sharing_most_ends(request);
   const bool fewer = ends < end_history::kEndsToHoldBack;
   log_.record(event, {{"fingerprint", request.str()},
                       {"ends", ends},
@@ -255,39 +261,41 @@
   }
   const bool before = history_.holds_back(call.request);
   const UnixMilliseconds now = environment_.unix_milliseconds();
-  if (!history_.record(call.request, {call.backend, now, call.answered_for >= kAdvanced}, now)) {
+  if (!history_.record(call.request, {call.backend, now, call.answered_for >= kAdvancedAfter}, now)) {
     return;
   }
   counters_["quarantine_ends_recorded_total"]++;
-  saw_end_.insert(call.request);
-  note_change(call.request);
-  note_if_held_back(call.request, before, "saw");
-  tell(call.request);
+  ends_seen_here_.insert(call.request);
+  on_entry_changed(call.request);
+  hold_back_when_decided(call.request, before, "saw");
+  queue_report(call.request);
 }
 
 void request_quarantine::call_answered(const request_fingerprint& request) {
-  if (history_.acquit(request, environment_.unix_milliseconds())) {
+  if (history_.clear_ends_until(request, environment_.unix_milliseconds())) {
     counters_["quarantine_acquitted_total"]++;
     log_.record("request_acquitted", {{"fingerprint", request.str()}});
-    unmark(request);
-    note_released();
-    keep_soon();
-    tell(request);
+    remove_mark_if_released(request);
+    log_released();
+    schedule_store();
+    queue_report(request);
   }
 }
 
-void request_quarantine::note_if_held_back(const request_fingerprint& request, bool before, std::string_view learned) {
+void request_quarantine::hold_back_when_decided(const request_fingerprint& request, bool before,
+                                                std::string_view learned) {
   if (before || history_.ends(request) < end_history::kEndsToHoldBack) {
     return;
   }
-  // Not said before it is decided: what ran beside the request has as many ends for a moment.
+  // Wait until the request is decided: for a moment, harmless requests that ran beside it have as many terminations.
   if (const Duration wait = undecided_for(request); wait > Duration::zero()) {
-    environment_.after(wait, lifetime_.guard([this, request, learned] { note_if_held_back(request, false, learned); }));
+    environment_.after(wait,
+                       lifetime_.guard([this, request, learned] { hold_back_when_decided(request, false, learned); }));
     return;
   }
   const suspected_request& known = *history_.find(request);
   if (!history_.holds_back(request)) {
-    note_verdict("request_not_quarantined", request, learned);
+    log_not_held_back("request_not_quarantined", request, learned);
     return;
   }
   log_.record("request_quarantined",
@@ -299,28 +307,28 @@
                {"learned", learned}});
   counters_["quarantine_begun_total"]++;
   quarantined_.insert(request);
-  if (marks_ && saw_end_.contains(request)) {
+  if (marks_ && ends_seen_here_.contains(request)) {
     marks_->write(request);
   }
 }
 
-void request_quarantine::tell(const request_fingerprint& request) {
+void request_quarantine::queue_report(const request_fingerprint& request) {
   if (!guards_.tell_others) {
     return;
   }
-  to_tell_.push_back(request);
-  if (to_tell_.size() == 1) {
-    environment_.after(kTogether, lifetime_.guard([this] { tell_waiting(); }));
+  to_send_.push_back(request);
+  if (to_send_.size() == 1) {
+    environment_.after(kBatchWindow, lifetime_.guard([this] { send_waiting(); }));
   }
 }
 
-void request_quarantine::tell_waiting() {
+void request_quarantine::send_waiting() {
   std::vector<request_fingerprint> waiting;
-  std::swap(waiting, to_tell_);
-  delivery_.tell(waiting);
+  std::swap(waiting, to_send_);
+  delivery_.send_to_all(waiting);
 }
 
-wire::SuspicionNewsT request_quarantine::news_of(const std::vector<request_fingerprint>& requests) const {
+wire::SuspicionNewsT request_quarantine::compose_news(const std::vector<request_fingerprint>& requests) const {
   wire::SuspicionNewsT news;
   for (const request_fingerprint& request : requests) {
     if (const suspected_request* known = history_.find(request)) {
@@ -330,64 +338,64 @@
   return news;
 }
 
-void request_quarantine::take(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests) {
+void request_quarantine::merge_reports(const std::vector<std::unique_ptr<wire::SuspectedRequestT>>& requests) {
   for (const auto& message : requests) {
-    take(from_wire(*message), "heard");
+    merge_reports(from_wire(*message), "heard");
   }
 }
 
-void request_quarantine::take(const suspected_request& told, std::string_view learned) {
-  const bool before = history_.holds_back(told.request);
-  if (history_.merge(told, environment_.unix_milliseconds())) {
+void request_quarantine::merge_reports(const suspected_request& reported, std::string_view learned) {
+  const bool before = history_.holds_back(reported.request);
+  if (history_.merge(reported, environment_.unix_milliseconds())) {
     counters_["quarantine_news_taken_total"]++;
-    note_change(told.request);
-    note_if_held_back(told.request, before, learned);
+    on_entry_changed(reported.request);
+    hold_back_when_decided(reported.request, before, learned);
   }
-  unmark(told.request);
+  remove_mark_if_released(reported.request);
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
-  take(message.requests);
+  merge_reports(message.requests);
   if (message.number == 0) {
-    return;  // of a node that asks for no answer
+    return;  // the sender requests no acknowledgement
   }
   wire::SuspicionTakenT taken;
   taken.number = message.number;
   send_message(environment_, sender, std::move(taken));
-  answer_with_more(sender, message);
+  send_missing_ends(sender, message);
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionTakenT& message) {
-  delivery_.taken(sender, message.number);
+  delivery_.on_acknowledged(sender, message.number);
 }
 
-/// A node that missed an end tells of the next one without it: it learns with the answer, not with a comparison 200 ms
-/// later.
-void request_quarantine::answer_with_more(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
+/// A sender whose entry has fewer terminations has missed some. The answer delivers them without waiting for a
+/// comparison, up to 200 ms later.
+void request_quarantine::send_missing_ends(const PeerAddress& sender, const wire::SuspicionNewsT& message) {
   std::vector<request_fingerprint> more;
-  for (const auto& told : message.requests) {
-    const request_fingerprint request{told->high, told->low};
-    if (history_.ends(request) > told->ends.size()) {
+  for (const auto& reported : message.requests) {
+    const request_fingerprint request{reported->high, reported->low};
+    if (history_.ends(request) > reported->ends.size()) {
       more.push_back(request);
     }
   }
   if (!more.empty()) {
     counters_["quarantine_answered_with_more_total"]++;
-    send_message(environment_, sender, news_of(more));
+    send_message(environment_, sender, compose_news(more));
   }
 }
 
 void request_quarantine::compare() {
-  const Duration pause = history_.digest() == 0 ? kCompare : kCompareKnown;
+  const Duration pause = history_.digest() == 0 ? kCompareInterval : kCompareIntervalWithEntries;
   environment_.after(pause, lifetime_.guard([this] { compare(); }));
   history_.forget_old(environment_.unix_milliseconds());
-  std::erase_if(saw_end_, [this](const request_fingerprint& request) { return history_.ends(request) == 0; });
-  keep();
+  std::erase_if(ends_seen_here_, [this](const request_fingerprint& request) { return history_.ends(request) == 0; });
+  store_list();
   counters_["quarantine_requests_known"] = static_cast<CounterValue>(history_.size());
   counters_["quarantine_requests_held_back"] = static_cast<CounterValue>(history_.held_back());
   const std::vector<PeerAddress> peers = senders_();
-  const bool asked_just_now = history_.digest() == 0 && environment_.now() - started_at_ < kAskedInstead;
-  if (peers.empty() || asked_just_now || !guards_.tell_others) {
+  const bool requests_lists = history_.digest() == 0 && environment_.now() - started_at_ < kNoComparisonAfterStart;
+  if (peers.empty() || requests_lists || !guards_.tell_others) {
     return;
   }
   wire::SuspicionDigestT message;
@@ -396,7 +404,7 @@
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionDigestT& message) {
-  const bool too_soon = sent_shared_at_.count() != 0 && environment_.now() - sent_shared_at_ < kBetweenLists;
+  const bool too_soon = sent_shared_at_.count() != 0 && environment_.now() - sent_shared_at_ < kMinListInterval;
   if (message.digest == history_.digest() || too_soon || !guards_.tell_others) {
     return;
   }
@@ -406,7 +414,7 @@
 
 wire::SuspicionSyncT request_quarantine::shared_list() const {
   wire::SuspicionSyncT list;
-  for (const suspected_request& known : history_.shared(kMostInOneList)) {
+  for (const suspected_request& known : history_.shared(kMaxRequestsPerList)) {
     list.requests.push_back(to_wire(known));
   }
   return list;
@@ -420,11 +428,11 @@
 }
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionSyncT& message) {
-  take(message.requests);
+  merge_reports(message.requests);
   if (message.reply) {
     send_shared(sender, false);
   } else {
-    answered_at_start_ = true;
+    list_received_ = true;
   }
 }
 
--- a/tests/quarantine/end_history_test.cpp
+++ b/tests/quarantine/end_history_test.cpp
@@ -35,13 +35,13 @@
     history.record(kRequest, end_of(1, at), kNow + 50);
   }
   CHECK(history.ends(kRequest) == 1);
-  // Where a back end keeps its id, its next end is later.
-  CHECK(history.record(kRequest, end_of(1, kNow + end_history::kSameEndMs + 1), kNow + 5'000));
+  // A back end that restarts under the same id terminates again only after kSameEndWindowMs.
+  CHECK(history.record(kRequest, end_of(1, kNow + end_history::kSameEndWindowMs + 1), kNow + 5'000));
   CHECK(history.ends(kRequest) == 2);
 }
 
-// Two nodes have calls on the engine that ends and date its end by their own clocks. Each keeps what it heard first, so
-// a sum over the times would differ for good, and lists would go to and fro.
+// Two nodes with calls on an engine that terminates record the time by their own clocks. If each kept the time that it
+// learned first, their digests would differ permanently and they would exchange lists without end.
 TEST_CASE("nodes that date one end differently agree once they have told each other") {
   end_history left;
   end_history right;
@@ -65,7 +65,7 @@
     backwards.record(kRequest, end_of(9 - backend, kNow + 9 - backend), kNow + 10);
   }
   CHECK(forwards.find(kRequest)->ends == backwards.find(kRequest)->ends);
-  CHECK(forwards.ends(kRequest) == end_history::kMostEnds);
+  CHECK(forwards.ends(kRequest) == end_history::kMaxEnds);
 }
 
 TEST_CASE("a good run acquits of what was before it, in whichever order the news comes") {
@@ -73,12 +73,12 @@
   for (unsigned backend = 1; backend <= 3; ++backend) {
     history.record(kRequest, end_of(backend, kNow + backend), kNow + 10);
   }
-  CHECK(history.acquit(kRequest, kNow + 20));
+  CHECK(history.clear_ends_until(kRequest, kNow + 20));
   CHECK_FALSE(history.holds_back(kRequest));
-  CHECK_FALSE(history.record(kRequest, end_of(4, kNow + 15), kNow + 30));  // heard late
+  CHECK_FALSE(history.record(kRequest, end_of(4, kNow + 15), kNow + 30));  // reported late
   CHECK(history.record(kRequest, end_of(5, kNow + 25), kNow + 30));
   CHECK(history.ends(kRequest) == 1);
-  CHECK_FALSE(history.acquit({7, 7}, kNow));  // nothing is kept of requests that nobody suspects
+  CHECK_FALSE(history.clear_ends_until({7, 7}, kNow));  // no entry is created for a request that is not suspected
   CHECK(history.size() == 1);
 }
 
@@ -88,9 +88,9 @@
   end_history history;
   for (unsigned backend = 1; backend <= 3; ++backend) {
     history.record(kFatal, end_of(backend, kNow + backend), kNow + 10);
-    history.record(kBeside, end_of(backend, kNow + backend + 2), kNow + 10);  // as another node saw it
+    history.record(kBeside, end_of(backend, kNow + backend + 2), kNow + 10);  // time reported by another node
   }
-  // Nobody can tell yet which of the two it is.
+  // It is not known yet which of the two is fatal.
   CHECK_FALSE(history.holds_back(kFatal));
   CHECK_FALSE(history.holds_back(kBeside));
   SECTION("the one that ends a fourth back end alone") {
@@ -99,7 +99,7 @@
     CHECK_FALSE(history.holds_back(kBeside));
   }
   SECTION("the other one's good run") {
-    history.acquit(kBeside, kNow + 100);
+    history.clear_ends_until(kBeside, kNow + 100);
     CHECK(history.holds_back(kFatal));
     CHECK_FALSE(history.holds_back(kBeside));
   }
@@ -125,9 +125,10 @@
   }
 }
 
-// An innocent batch item fails for good: it ran beside two fatal requests and a third one, on five engines that ended
-// within six seconds. It has as many early ends as each of them, so it seemed to explain theirs, and five of any kind
-// were enough whoever else was there. Shown by hardening schedule 360 of a trial, times and engines as here.
+// Guards against quarantining a harmless batch item that ran beside two fatal requests and a third one, on five engines
+// that terminated within six seconds. It has as many early terminations as each fatal request, so it seemed to explain
+// theirs, and five of any kind used to suffice regardless of the others. Times and engines are those of hardening
+// schedule 360, in which this happened.
 TEST_CASE("what ran beside several fatal requests is not held back for what each of them did") {
   constexpr request_fingerprint kOne{1, 1};
   constexpr request_fingerprint kOther{2, 2};
@@ -148,7 +149,7 @@
   backend_end after_long_answer = end_of(3, kNow + 5'978);
   after_long_answer.advanced = true;
   history.record(kBeside, after_long_answer, kNow + 9'000);
-  REQUIRE(history.ends(kBeside) == end_history::kMostEnds);
+  REQUIRE(history.ends(kBeside) == end_history::kMaxEnds);
   CHECK(history.holds_back(kOne));
   CHECK(history.holds_back(kOther));
   CHECK_FALSE(history.holds_back(kBeside));
@@ -168,7 +169,7 @@
       mixed.record(kRequest, {BackendId(std::to_string(backend)), kNow, backend > 2}, kNow);
     }
     CHECK_FALSE(mixed.holds_back(kRequest));
-    // A copy of the request had just begun at the third.
+    // A second copy of the request had just begun on the third back end.
     CHECK(mixed.record(kRequest, {BackendId("3"), kNow, false}, kNow));
     CHECK(mixed.holds_back(kRequest));
   }
@@ -183,14 +184,15 @@
   for (unsigned backend = 1; backend <= 3; ++backend) {
     history.record(kRequest, end_of(backend, kNow), kNow);
   }
-  history.forget_old(kNow + end_history::kKeptMs);
+  history.forget_old(kNow + end_history::kRetentionMs);
   CHECK(history.holds_back(kRequest));
-  history.note_held_back(kRequest, kNow + end_history::kKeptMs);
-  history.forget_old(kNow + 2 * end_history::kKeptMs);
+  history.note_held_back(kRequest, kNow + end_history::kRetentionMs);
+  history.forget_old(kNow + 2 * end_history::kRetentionMs);
   CHECK(history.holds_back(kRequest));
-  history.forget_old(kNow + 2 * end_history::kKeptMs + 1);
+  history.forget_old(kNow + 2 * end_history::kRetentionMs + 1);
   CHECK(history.empty());
-  CHECK_FALSE(history.record(kRequest, end_of(1, kNow), kNow + end_history::kKeptMs + 1));  // a peer still has it
+  CHECK_FALSE(history.record(kRequest, end_of(1, kNow),
+                             kNow + end_history::kRetentionMs + 1));  // reported by a peer that still has it
 }
 
 TEST_CASE("thousands of other requests do not push out one that is held back, nor grow without bound") {
@@ -203,7 +205,7 @@
     history.record({other, other}, end_of(2, kNow + other), kNow + other);
   }
   CHECK(history.holds_back(kRequest));
-  CHECK(history.size() == end_history::kMostRequests);
+  CHECK(history.size() == end_history::kMaxRequests);
 }
 
 TEST_CASE("histories that have merged each other's share the same") {
@@ -212,10 +214,10 @@
     end_history right;
     for (const auto& [which, backend] : events) {
       end_history& one = which % 2 == 0 ? left : right;
-      // Ends at other back ends, well apart: which of two reports of one end came first makes no difference then.
+      // Terminations of different back ends, far apart in time, so that no two reports are taken for one termination.
       const UnixMilliseconds at = kNow + backend * 10'000ULL;
       if (which % 8 >= 6) {
-        one.acquit({which / 64U, 0}, at + 1);
+        one.clear_ends_until({which / 64U, 0}, at + 1);
       } else {
         one.record({which / 64U, 0}, end_of(backend, at), at);
       }
--- a/tests/quarantine/news_delivery_test.cpp
+++ b/tests/quarantine/news_delivery_test.cpp
@@ -1,4 +1,4 @@
-// News that is told until it has been taken: how often, to whom, and when it is given up.
+// Tests how often updates are sent until they are acknowledged, to which peers, and when they are abandoned.
 #include "quarantine/news_delivery.hpp"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Peers that answer nothing by themselves.
+/// Peers that send no acknowledgements unless the test does so for them.
 struct delivery_fixture {
   std::vector<PeerAddress> peers{PeerAddress("one"), PeerAddress("two")};
   tests::TestEnvironment environment;
@@ -42,43 +42,44 @@
 
 }  // namespace
 
-TEST_CASE("news goes out again until each peer has taken it, and not to those that have") {
+TEST_CASE("an update is repeated to each peer until that peer has acknowledged it") {
   delivery_fixture fixture;
-  fixture.delivery.tell({kRequest});
+  fixture.delivery.send_to_all({kRequest});
   REQUIRE(fixture.numbers_to("one").size() == 1);
-  fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one")[0]);
+  fixture.delivery.on_acknowledged(PeerAddress("one"), fixture.numbers_to("one")[0]);
   fixture.environment.world.run_for(100ms);
   CHECK(fixture.numbers_to("one").size() == 1);
   CHECK(fixture.numbers_to("two").size() >= 5);
-  fixture.delivery.taken(PeerAddress("two"), fixture.numbers_to("two")[0]);
+  fixture.delivery.on_acknowledged(PeerAddress("two"), fixture.numbers_to("two")[0]);
   const std::size_t sent = fixture.environment.sent.size();
   fixture.environment.world.run_for(5s);
   CHECK(fixture.environment.sent.size() == sent);
 }
 
-TEST_CASE("a peer that never answers costs a bounded number of messages, fewer the next time") {
+TEST_CASE("a peer that never acknowledges is sent a bounded number of messages, fewer for the next update") {
   delivery_fixture fixture;
-  fixture.delivery.tell({kRequest});
-  fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one")[0]);
+  fixture.delivery.send_to_all({kRequest});
+  fixture.delivery.on_acknowledged(PeerAddress("one"), fixture.numbers_to("one")[0]);
   fixture.environment.world.run_for(10s);
-  CHECK(fixture.numbers_to("two").size() == news_delivery::kMostTries);
+  CHECK(fixture.numbers_to("two").size() == news_delivery::kMaxAttempts);
   CHECK(fixture.counters["quarantine_news_unanswered_total"] == 1);
-  fixture.delivery.tell({kRequest});
-  fixture.delivery.taken(PeerAddress("one"), fixture.numbers_to("one").back());
+  fixture.delivery.send_to_all({kRequest});
+  fixture.delivery.on_acknowledged(PeerAddress("one"), fixture.numbers_to("one").back());
   fixture.environment.world.run_for(10s);
-  CHECK(fixture.numbers_to("two").size() == news_delivery::kMostTries + news_delivery::kTriesOfSilent);
-  SECTION("until it answers something") {
-    fixture.delivery.taken(PeerAddress("two"), 0);
-    fixture.delivery.tell({kRequest});
+  CHECK(fixture.numbers_to("two").size() == news_delivery::kMaxAttempts + news_delivery::kMaxAttemptsToUnresponsive);
+  SECTION("until it acknowledges any message") {
+    fixture.delivery.on_acknowledged(PeerAddress("two"), 0);
+    fixture.delivery.send_to_all({kRequest});
     fixture.environment.world.run_for(10s);
-    CHECK(fixture.numbers_to("two").size() == 2 * news_delivery::kMostTries + news_delivery::kTriesOfSilent);
+    CHECK(fixture.numbers_to("two").size() ==
+          2 * news_delivery::kMaxAttempts + news_delivery::kMaxAttemptsToUnresponsive);
   }
 }
 
-TEST_CASE("a node that knows nobody yet tells those it finds") {
+TEST_CASE("a node that knows no peers yet sends the update to those it finds later") {
   delivery_fixture fixture;
   fixture.peers.clear();
-  fixture.delivery.tell({kRequest});
+  fixture.delivery.send_to_all({kRequest});
   fixture.environment.world.run_for(300ms);
   CHECK(fixture.environment.sent.empty());
   fixture.peers = {PeerAddress("one")};
@@ -86,20 +87,20 @@
   CHECK_FALSE(fixture.numbers_to("one").empty());
 }
 
-TEST_CASE("what many calls bring is split below the size of a datagram, and open messages are bounded") {
+TEST_CASE("updates about many requests are split into datagrams, and unacknowledged messages are bounded") {
   delivery_fixture fixture;
   std::vector<request_fingerprint> many;
-  for (std::uint64_t request = 0; request < news_delivery::kMostInOneDatagram * 2 + 1; ++request) {
+  for (std::uint64_t request = 0; request < news_delivery::kMaxRequestsPerDatagram * 2 + 1; ++request) {
     many.push_back({request, 0});
   }
-  fixture.delivery.tell(many);
+  fixture.delivery.send_to_all(many);
   CHECK(fixture.numbers_to("one").size() == 3);
-  for (std::size_t more = 0; more < 2 * news_delivery::kMostOpen; ++more) {
-    fixture.delivery.tell({kRequest});
+  for (std::size_t more = 0; more < 2 * news_delivery::kMaxOpenMessages; ++more) {
+    fixture.delivery.send_to_all({kRequest});
   }
   CHECK(fixture.counters["quarantine_news_over_limit_total"] > 0);
   const std::size_t before = fixture.environment.sent.size();
   fixture.environment.world.run_for(10s);
-  const std::size_t most = news_delivery::kMostOpen * 2 * (news_delivery::kMostTries - 1);
+  const std::size_t most = news_delivery::kMaxOpenMessages * 2 * (news_delivery::kMaxAttempts - 1);
   CHECK(fixture.environment.sent.size() - before <= most);
 }
