--- a/src/forwarding/answer_end.hpp
+++ b/src/forwarding/answer_end.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file How an answer of a back end ended.
+/// @file How a back end's answer to a forwarded request ended.
 
 #include <string_view>
 
@@ -7,27 +7,27 @@
 
 namespace madderdeck::forwarding {
 
-/// As far as the node that passes the answer on can tell. Each has a counter, `answers_ended_NAME_total`.
+/// The end of an answer as seen by the node that forwards it. Each value has a counter, `answers_ended_NAME_total`.
 enum class answer_end {
-  whole,         ///< Where its framing says, and a stream between two events.
-  inside_event,  ///< A stream ended as its framing says, but inside an event.
-  empty,         ///< A success ended with its connection before any of its body came.
+  whole,         ///< Complete according to its framing; an event stream ended between two events.
+  inside_event,  ///< An event stream ended where its framing says, but inside an event.
+  empty,         ///< A successful answer ended by closing its connection before any byte of its body arrived.
   closed,        ///< The connection was closed before the end that the framing states.
-  reset,         ///< The connection broke otherwise.
-  malformed,     ///< Its bytes are none of HTTP, or not the answer to this request.
-  silent,        ///< Nothing came for too long.
-  out_of_order,  ///< An event of the stream is missing.
-  given_up,      ///< The request's time was up.
-  caller_gone,   ///< The caller has left.
-  unanswered,    ///< The back end never began one, or said that it did not run the request.
+  reset,         ///< The connection failed in another way than by an orderly close.
+  malformed,     ///< Its bytes are not valid HTTP, or not an answer to this request.
+  silent,        ///< The back end was unresponsive: no byte arrived for too long.
+  out_of_order,  ///< The event numbers of the stream have a gap.
+  given_up,      ///< The request reached its deadline.
+  caller_gone,   ///< The caller closed its connection.
+  unanswered,    ///< The back end sent no answer, or stated that it did not run the request.
 };
 
-/// @return a word for log lines and counters.
+/// @return the name of @p end in log fields and counter names.
 std::string_view answer_end_name(answer_end end);
 
-/// Why a send came to nothing.
+/// Why a send to a back end failed.
 struct send_failure {
-  // NOLINTNEXTLINE(google-explicit-constructor): most failures say all by their reason.
+  // NOLINTNEXTLINE(google-explicit-constructor): most failures are fully described by their reason.
   send_failure(routing::CallFailure why, answer_end answer = answer_end::unanswered) : reason(why), end(answer) {}
 
   routing::CallFailure reason;
--- a/src/forwarding/answer_reader.cpp
+++ b/src/forwarding/answer_reader.cpp
@@ -29,7 +29,8 @@
   if (event_stream_ && !splitter_.at_boundary()) {
     return answer_end::inside_event;
   }
-  // A back end that ends right after its head closes its connection like one that has nothing more to say.
+  // A back end that terminates right after it sent the head closes its connection in the same way as one whose body
+  // is empty.
   const bool nothing_came = event_stream_ ? events_ == 0 : bytes_ == 0;
   const bool end_is_stated = framing_ != net::body_framing::until_close;
   return succeeded_ && nothing_came && !end_is_stated ? answer_end::empty : answer_end::whole;
--- a/src/forwarding/answer_reader.hpp
+++ b/src/forwarding/answer_reader.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Reads the body of a back end's answer and tells how it ended.
+/// @file Reads the body of a back end's answer and determines how it ended.
 
 #include <cstdint>
 #include <string_view>
@@ -10,22 +10,22 @@
 
 namespace madderdeck::forwarding {
 
-/// The body of one answer after the other. Not thread safe.
+/// Reads the body of one answer at a time; begin() starts the next one. Not thread safe.
 class answer_reader {
  public:
-  /// The head of an answer has come.
+  /// Resets the reader for the answer that begins with @p head.
   void begin(const AnswerHead& head);
-  /// Reads bytes of the body; of a stream, calls @p on_event for each event that they complete.
+  /// Reads bytes of the body; for an event stream, calls @p on_event for each event that they complete.
   void read(std::string_view piece, const EventSplitter::OnEvent& on_event);
-  /// @return how the answer ended, once its bytes have ended as its framing says.
+  /// @return how the answer ended. To be called once the body has ended according to its framing.
   answer_end end() const;
 
   net::body_framing framing() const { return framing_; }
-  /// @return whole events read.
+  /// @return number of complete events read.
   std::uint64_t events() const { return events_; }
-  /// @return bytes read.
+  /// @return number of bytes read.
   std::uint64_t bytes() const { return bytes_; }
-  /// @return what has come of a stream after its last whole event.
+  /// @return the bytes of an event stream received after its last complete event.
   std::string_view unfinished() const { return splitter_.unfinished(); }
 
  private:
--- a/src/forwarding/backend_directory.hpp
+++ b/src/forwarding/backend_directory.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What connections to back ends need to know about them, and what they learn of them.
+/// @file Interface through which connections look up back ends and pass on the load that these report.
 
 #include <string>
 
@@ -11,15 +11,15 @@
 class BackendDirectory {
  public:
   virtual ~BackendDirectory() = default;
-  /// @return "ip:port" of @p backend; empty when it is not known any more.
+  /// @return "ip:port" of @p backend; empty when the node no longer knows it.
   virtual std::string address_of(const BackendId& backend) const = 0;
   /// @return whether @p backend may be sent a request now.
   virtual bool takes_work(const BackendId& backend) const = 0;
-  /// @return whether @p backend is known to end soon, or not known any more.
+  /// @return whether @p backend will shut down soon or is no longer known to the node.
   virtual bool is_leaving(const BackendId& backend) const = 0;
-  /// @return connections that this node may have open to @p backend.
+  /// @return number of connections that this node may have open to @p backend.
   virtual std::size_t connection_share(const BackendId& backend) const = 0;
-  /// @p backend told its load with an answer.
+  /// Called when an answer of @p backend contained a load report.
   virtual void on_load(const BackendId& backend, const routing::LoadReport& report) = 0;
 };
 
--- a/src/forwarding/engine_choice.cpp
+++ b/src/forwarding/engine_choice.cpp
@@ -12,15 +12,16 @@
 constexpr Duration kReportFresh = 4s;
 constexpr Duration kSilence = 500ms;
 constexpr Duration kExcessHolds = 1s;
-constexpr double kAffinitySlack = 0.25;  ///< Of the slots above the average load.
+/// A back end is chosen by affinity while its load is at most this part of its slots above the average load.
+constexpr double kAffinitySlack = 0.25;
 constexpr double kMaxSlowness = 8.0;
-/// What a back end that reads a long prompt seems fuller by, as a part of its slots.
+/// Added to the load of a back end while it prefills a long prompt, as a part of its slots.
 constexpr double kReadingPenalty = 0.5;
 
 bool uses_shared(const ChoiceInput& input) { return input.shared != nullptr && input.shared->any_heard(); }
 
-/// @return expected trouble for one more live call: below 1 there is a free slot, below 2 batch work has to yield, from
-///         2 on it waits for another live call to end.
+/// @return expected cost of one more live call: below 1 a slot is free; from 1 to below 2 a batch call has to free its
+///         slot; from 2 on the call waits for another live call to end.
 double cost_of(const known_calls& calls) {
   const double live = (calls.live + 1) / calls.slots;
   if (calls.live + calls.batch < calls.slots) {
@@ -36,7 +37,8 @@
   return (estimated_requests(backend, input.now, input.sharing) + 1) / backend.machine.slots;
 }
 
-/// @return load as far as it matters to where a prompt's start is kept: batch work gives way.
+/// @return load that counts for affinity: where calls are shared, without batch calls, since these free their slots for
+///         live calls.
 double affinity_load(const Backend& backend, const ChoiceInput& input) {
   if (!uses_shared(input)) {
     return load(backend, input);
@@ -67,7 +69,7 @@
   return best;
 }
 
-/// @return up to @p count of @p candidates at random, each once.
+/// @return up to @p count of @p candidates, drawn at random without replacement.
 std::vector<Backend*> draw(std::vector<Backend*> candidates, std::size_t count, std::uint64_t random) {
   constexpr std::uint64_t kMultiplier = 6364136223846793005ULL;
   const std::size_t drawn = std::min(count, candidates.size());
--- a/src/forwarding/engine_choice.hpp
+++ b/src/forwarding/engine_choice.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Chooses the back end for a passed-on request from a snapshot of the candidates.
+/// @file Chooses the back end for a forwarded request from a snapshot of the candidates.
 
 #include <cstdint>
 #include <string_view>
@@ -10,53 +10,56 @@
 
 namespace madderdeck::forwarding {
 
-/// What the choice may look at.
+/// Input of choose_backend().
 struct ChoiceInput {
   std::vector<routing::Backend*> candidates;  ///< Never empty.
-  std::string_view affinity_key;              ///< Empty: any back end is as good.
+  std::string_view affinity_key;  ///< Shared by requests with the same prompt prefix; empty: no back end is preferred.
   Timestamp now{};
   std::uint64_t random = 0;
-  double sharing = 1;                             ///< Gateways that use the same back end, on average.
-  const routing::shared_calls* shared = nullptr;  ///< Calls of the other nodes; null where they are not told.
-  /// An engine this many times as slow as the median is not the one for a shared prompt start.
+  double sharing = 1;  ///< Average number of gateways that use the same back end.
+  const routing::shared_calls* shared =
+      nullptr;  ///< Open calls of the other nodes; null where nodes send no call reports.
+  /// An engine that is more than this many times as slow as the median is not chosen by affinity.
   double affinity_slowness = 1;
-  std::size_t samples = 4;  ///< Candidates that are compared; fewer where calls are told late.
+  std::size_t samples = 4;  ///< Number of random candidates to compare; fewer where call reports arrive late.
 };
 
-/// Calls open at a back end, of all nodes.
+/// Calls of all nodes that are open at a back end.
 struct known_calls {
   double live = 0;
   double batch = 0;
   double slots = 1;
 
-  /// @return whether a further live call waits until batch work has yielded.
+  /// @return whether one more live call has to wait until a batch call frees its slot.
   bool needs_yield() const { return live + batch >= slots && live < slots; }
   auto operator<=>(const known_calls&) const = default;
 };
 
-/// @return what this node and the others have open at @p backend, and what it runs besides by its own reports.
+/// @return calls that this node and the other nodes have open at @p backend, plus the requests of its load reports that
+///         no node has reported.
 known_calls calls_at(const routing::Backend& backend, const routing::shared_calls& shared, Timestamp now);
 
-/// @return estimated requests on @p backend, running and waiting. The last report counts while it is
-///         fresh, with what this node has sent since; otherwise this node's own calls stand for
-///         those of the others.
+/// @return estimated number of requests running and waiting at @p backend. While its last load report is recent, this
+/// is
+///         the reported number plus what this node has sent since; otherwise this node's own calls times @p sharing.
 double estimated_requests(const routing::Backend& backend, Timestamp now, double sharing);
 
-/// @return the median time to the first token, in milliseconds, of those of @p candidates that have one; 0 where none
-/// has.
+/// @return the median time to the first token, in milliseconds, of the @p candidates with a measured time; 0 where none
+/// has one.
 double median_latency(const std::vector<routing::Backend*>& candidates);
 
-/// @return how many times as long as @p median (0: not known) @p backend takes to its first token; from 1 on.
+/// @return the time to the first token of @p backend as a multiple of @p median (0: not known); at least 1.
 double slowness(const routing::Backend& backend, double median);
 
-/// @return whether calls are open to @p backend and it has been silent on all of them for long.
+/// @return whether @p backend is unresponsive: it has open calls and sent no data on any of them for some time.
 bool silent(const routing::Backend& backend, Timestamp now);
 
-/// @return the one of @p candidates (never empty) that affinity names for @p key, whatever its load.
+/// @return the one of @p candidates (never empty) that affinity prefers for @p key, regardless of its load.
 routing::Backend& preferred_backend(const std::vector<routing::Backend*>& candidates, std::string_view key);
 
-/// Least expected wait among a few random candidates; with an affinity key the back end that likely
-/// holds the prompt's start, while its load stays near the average. Silent ones come last.
+/// Chooses the back end with the least expected wait among a few random candidates; with an affinity key, the one that
+/// has likely cached the prompt prefix, while its load is near the average. Unresponsive back ends are chosen only
+/// where there is no other.
 routing::Backend& choose_backend(const ChoiceInput& input);
 
 }  // namespace madderdeck::forwarding
--- a/src/forwarding/engine_placer.hpp
+++ b/src/forwarding/engine_placer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Where a gateway asks for the engine of a passed-on request, when it does not choose itself.
+/// @file Interface through which a gateway asks for the engine of a forwarded request where it does not choose itself.
 
 #include <functional>
 #include <optional>
@@ -16,37 +16,37 @@
 struct place_query {
   std::string request;  ///< The caller's id, for the log.
   std::string pool;
-  std::string affinity_key;        ///< Empty: any engine is as good.
-  std::set<BackendId> excluded;    ///< Tried before.
-  std::optional<BackendId> first;  ///< The engine that affinity would choose, whatever its load.
-  Duration reading{};              ///< What a kept prompt start saves an engine; zero: not worth telling.
-  Duration holding{};              ///< How long a call like this keeps its slot, on average; zero: not known.
-  Duration due{};                  ///< From now until a start is too late for the request's target.
-  Duration patience{};             ///< From now until the request is given up on.
+  std::string affinity_key;        ///< Shared by requests with the same prompt prefix; empty: no engine is preferred.
+  std::set<BackendId> excluded;    ///< Engines that the request was sent to before.
+  std::optional<BackendId> first;  ///< The engine that affinity prefers, regardless of its load.
+  Duration reading{};              ///< Prefill time that a cached prefix saves an engine; zero: negligible.
+  Duration holding{};              ///< Average time for which a call like this uses its slot; zero: not known.
+  Duration due{};                  ///< Time left until a start is too late to meet the request's target.
+  Duration patience{};             ///< Time left until the request is given up.
   policy::call_rank rank;
 };
 
 /// The engine to send a request to.
 struct place_answer {
   BackendId engine;
-  bool needs_yield = false;  ///< Batch work there has to make room.
-  bool keeps_start = false;  ///< The engine has likely read the prompt's start already.
+  bool needs_yield = false;  ///< A batch call on the engine has to free its slot.
+  bool keeps_start = false;  ///< The engine has likely cached the prompt prefix.
 };
 
-/// What became of a question. Immutable.
+/// Result of a place_query. Immutable.
 struct place_outcome {
-  place_outcome(std::nullopt_t) {}  // NOLINT(google-explicit-constructor): nothing is known
+  place_outcome(std::nullopt_t) {}                                  // NOLINT(google-explicit-constructor): no result
   place_outcome(place_answer answer) : place(std::move(answer)) {}  // NOLINT(google-explicit-constructor)
   place_outcome(std::optional<place_answer> answer)
       : place(std::move(answer)) {}  // NOLINT(google-explicit-constructor)
-  /// No slot will be free while the caller waits; one is likely after @p retry_after.
+  /// No slot will be free before the caller gives up; one is likely to be free after @p retry_after.
   static place_outcome rejected(Duration retry_after) {
     place_outcome outcome{std::nullopt};
     outcome.retry_after = retry_after;
     return outcome;
   }
 
-  std::optional<place_answer> place;    ///< Nothing where no answer came in time or no engine takes requests.
+  std::optional<place_answer> place;    ///< Empty where no reply came in time or no engine accepts requests.
   std::optional<Duration> retry_after;  ///< Set where the request is to be rejected.
 };
 
@@ -57,15 +57,15 @@
   using ticket = std::uint64_t;
 
   virtual ~engine_placer() = default;
-  /// @return whether to ask here; otherwise the gateway chooses itself.
+  /// @return whether gateways are to ask this placer; otherwise they choose engines themselves.
   virtual bool active() const = 0;
-  /// A request is about to be sent. @param long_start whether its prompt has a long shared start.
+  /// Called before a request is sent. @param long_start whether its prompt has a long shared prefix.
   virtual void note_request(bool long_start) = 0;
-  /// Asks for an engine. @p done may run before this returns; where every slot is taken, it runs once one is free for
-  /// this request.
-  /// @return what withdraw() takes.
+  /// Asks for an engine. @p done may run before this returns; where every slot is in use, it runs once a slot is free
+  /// for this request.
+  /// @return the ticket that withdraw() takes.
   virtual ticket place(const place_query& query, placed done) = 0;
-  /// The request needs no engine any more; nothing follows.
+  /// Cancels a query whose request no longer needs an engine; its callback does not run.
   virtual void withdraw(ticket question) = 0;
 };
 
--- a/src/forwarding/event_splitter.cpp
+++ b/src/forwarding/event_splitter.cpp
@@ -5,7 +5,7 @@
 namespace madderdeck::forwarding {
 namespace {
 
-/// @return the value of a "name: value" line, without the one space that may lead it.
+/// @return the value of a "name: value" line, without the one optional space before it.
 std::string_view field_value(std::string_view line, std::string_view name) {
   std::string_view value = line.substr(name.size());
   if (value.starts_with(' ')) {
--- a/src/forwarding/forwarder.cpp
+++ b/src/forwarding/forwarder.cpp
@@ -12,7 +12,8 @@
 using routing::CallFailure;
 using routing::Ran;
 
-constexpr std::uint32_t kMaxSends = 6;  ///< Back ends may refuse without having run the request.
+constexpr std::uint32_t kMaxSends =
+    6;  ///< Sends of one request, including those that a back end refused without running it.
 constexpr Duration kComebackBusy = 300ms;
 constexpr Duration kComebackOutage = 500ms;
 constexpr Duration kLeastTimeLeft = 5ms;
@@ -24,8 +25,8 @@
 constexpr int kReadingSmoothing = 8;
 constexpr int kYieldSmoothing = 8;
 constexpr std::size_t kLeastSamples = 4;
-constexpr std::size_t kMostEventBytes = 1024 * 1024;  ///< Of an event that has not ended; a longer one is none.
-/// Told so late, the calls of others are as good as exact: all engines are compared.
+constexpr std::size_t kMostEventBytes = 1024 * 1024;  ///< Of an incomplete event; a stream with more is malformed.
+/// Call reports that are at most this late count as exact: all engines are compared.
 constexpr Duration kExactDelay = 25ms;
 
 }  // namespace
@@ -104,7 +105,7 @@
   return {};
 }
 
-/// The placer knows engines of the whole pool, this node's own choice is among a part of them.
+/// The placer may name any engine of the pool, while this node itself chooses only among a subset of them.
 Backend* Forwarder::named_backend(const Active& active, const std::vector<Backend*>& open, const BackendId& id) {
   Backend* backend = registry_.find(id);
   if (backend != nullptr && std::find(open.begin(), open.end(), backend) != open.end()) {
@@ -138,8 +139,8 @@
   return true;
 }
 
-/// A request is not refused for what another one did that ran beside it, nor sent while word of a third end is on its
-/// way.
+/// Waiting avoids two faults: refusing a request because of a concurrent request that terminated the back end, and
+/// sending it while the report of a third termination is in transit.
 bool Forwarder::wait_if_undecided(ForwardId id) {
   if (repeats_ == nullptr || !repeats_->remembers_any()) {
     return false;
@@ -169,7 +170,7 @@
   if (open.empty() && !placed) {
     open = warming_choice(active);
   }
-  // Where there is a placer, it alone names those that warm up.
+  // While a placer is active, only the placer chooses back ends that warm up.
   if (open.empty() && (!placed || registry_.warming(active.pool).empty())) {
     const bool tried = !active.tried.empty();
     counters_[tried ? "forward_refused_busy_total" : "forward_refused_no_backend_total"]++;
@@ -242,7 +243,7 @@
   if (outcome.retry_after) {
     counters_["forward_refused_full_total"]++;
     active.retry_after = outcome.retry_after;
-    end_unanswered(id, ErrorKind::unavailable, "no slot will be free in the time there is");
+    end_unanswered(id, ErrorKind::unavailable, "no slot will be free before the deadline");
     return;
   }
   const std::optional<place_answer>& answer = outcome.place;
@@ -257,14 +258,14 @@
     end_unanswered(id, ErrorKind::unavailable, "the pool has no back end left that takes requests");
     return;
   }
-  // Not told in time, or of an engine that this node does not know or does not use: by its own knowledge then.
+  // The placer sent no reply in time, or named an engine that this node does not know or use: the node chooses itself.
   counters_["forward_places_own_choice_total"]++;
   const std::string key = active.route->prefix_affinity ? affinity_key(active.request->prompt) : std::string();
   send_to(id, choose(active, open, key), open);
 }
 
 void Forwarder::send_to(ForwardId id, Backend& backend, const std::vector<Backend*>& open) {
-  // It may have waited for its engine while others learned what it does, or what ran beside it.
+  // While the request waited for its engine, it or a concurrent request may have been found to terminate back ends.
   if (wait_if_undecided(id) || end_if_held_back(id)) {
     return;
   }
@@ -296,7 +297,7 @@
   send(id, backend);
 }
 
-/// Where calls are told late, comparing all engines would send everybody's calls to the same ones.
+/// Where call reports arrive late, comparing all engines would make all gateways choose the same ones.
 Backend& Forwarder::choose(const Active& active, const std::vector<Backend*>& open, const std::string& key) {
   ChoiceInput input{open, key, environment_.now(), environment_.random(), registry_.sharing(active.pool)};
   input.shared = shared_;
@@ -341,7 +342,7 @@
   watch_first_byte(id);
 }
 
-/// Other gateways keep away from @p backend until it has likely read the prompt.
+/// Lets other gateways avoid @p backend until it has likely finished the prefill of the prompt.
 void Forwarder::announce_reading(Backend& backend) {
   const Duration expected = std::clamp(long_prompt_time_, kLeastReading, kMostReading);
   const Timestamp until = environment_.now() + expected;
@@ -351,7 +352,7 @@
   }
 }
 
-/// A back end that went dark says nothing. What may be repeated is taken elsewhere in time.
+/// An unresponsive back end reports no failure. A repeatable request is therefore sent to another one after a timeout.
 void Forwarder::watch_first_byte(ForwardId id) {
   const Active& active = requests_.at(id);
   if (!active.route->may_repeat() || active.runs + 1 >= active.route->max_attempts) {
@@ -365,7 +366,7 @@
     }
     const Active& waiting = requests_.at(id);
     const Backend* backend = registry_.find(waiting.backend);
-    // A back end that answers others is only slow or full: the request keeps its place there.
+    // A back end that answers other calls is only slow or full: the request stays there.
     const bool dark = backend == nullptr || silent(*backend, environment_.now());
     if (dark && !choices(waiting).empty()) {
       counters_["forward_first_byte_timeouts_total"]++;
@@ -433,7 +434,7 @@
   heard(active);
   active.head_seen = true;
   active.answer.begin(head);
-  // A stream that goes on elsewhere keeps its first head.
+  // A stream that is resumed on another back end keeps its first head.
   if (!active.head_passed) {
     active.head = std::move(head);
   } else if (!head.event_stream || head.status >= 300) {
@@ -670,7 +671,7 @@
   return active.tried.empty() ? kComebackOutage : kComebackBusy;
 }
 
-/// The request ends without a whole answer. Told at once.
+/// Ends a request without a complete answer and informs the caller at once.
 void Forwarder::end_unanswered(ForwardId id, ErrorKind kind, const std::string& detail) {
   auto node = requests_.extract(id);
   Active& active = node.mapped();
@@ -691,7 +692,7 @@
     kind = ErrorKind::upstream_failed;
   }
   const Ran ran = may_have_run ? Ran::unknown : Ran::no;
-  const bool in_vain = may_have_run || kind == ErrorKind::quarantined;  // to come back
+  const bool in_vain = may_have_run || kind == ErrorKind::quarantined;
   active.events.refused(routing::Refusal{Error{kind, detail}, ran, in_vain ? Duration::zero() : comeback_time(active)});
 }
 
@@ -704,7 +705,7 @@
   if (active.placing != 0) {
     counters_["forward_timeouts_total"]++;
     placer_->withdraw(active.ticket);
-    end_unanswered(id, ErrorKind::deadline_exceeded, "no engine was named in the time there was");
+    end_unanswered(id, ErrorKind::deadline_exceeded, "no engine was assigned before the deadline");
     return;
   }
   upstream_.cancel(active.call);
@@ -715,7 +716,7 @@
   }
   ++active.runs;
   counters_["forward_timeouts_total"]++;
-  end_unanswered(id, ErrorKind::deadline_exceeded, "no whole answer in the time there was");
+  end_unanswered(id, ErrorKind::deadline_exceeded, "no complete answer before the deadline");
 }
 
 void Forwarder::cancel(ForwardId id) {
@@ -756,7 +757,7 @@
   }
   registry_.on_ended(active.backend, active.life);
   Backend* backend = registry_.find(active.backend);
-  // A back end that has started anew holds no calls of its life before.
+  // A restarted back end has no calls of its previous incarnation.
   if (backend != nullptr && backend->life == active.life && backend->online_in_flight > 0) {
     on_activity_(active.backend, --backend->online_in_flight);
   }
--- a/src/forwarding/forwarder.hpp
+++ b/src/forwarding/forwarder.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Passed-on requests: choice of back end, retries where they are allowed, resuming a broken
-/// stream elsewhere, and the final answer in time.
+/// @file Forwards requests: chooses the back end, retries where that is allowed, resumes a broken
+/// stream on another back end, and answers the caller before the deadline.
 
 #include <functional>
 #include <map>
@@ -23,9 +23,9 @@
 
 namespace madderdeck::forwarding {
 
-/// Receives the answer. Exactly one of finished, broken and refused comes last.
+/// Callbacks that receive the answer. The last one is finished, broken or refused, or head with a body.
 struct ForwardEvents {
-  /// @param whole the body, where it is known already; nothing when pieces follow.
+  /// @param whole the complete body, where it is known already; empty when pieces follow.
   std::function<void(const AnswerHead& head, std::optional<std::string> whole)> head;
   std::function<void(std::string_view piece)> piece;
   std::function<void()> finished;
@@ -34,46 +34,49 @@
 };
 
 using ForwardId = std::uint64_t;
-/// A back end has been sent a long prompt and is expected to read it for that long.
+/// Called when a back end is sent a long prompt. @c expected is the expected duration of its prefill.
 using ReadingHook = std::function<void(const BackendId&, Duration expected)>;
 using BackendActivityHook = std::function<void(const BackendId&, std::uint32_t in_flight)>;
 
-/// Rules of forwarding; always on in the daemon.
+/// Rules of forwarding that the simulation can switch off; always on in the daemon.
 struct ForwardGuards {
-  bool once_unless_repeatable = true;  ///< What may have run is not sent again unless that does no harm.
-  bool whole_events_only = true;       ///< Of a stream only whole events are passed on, and it ends between two.
-  bool judge_ends = true;              ///< An answer whose bytes have ended is whole only where its reader says so.
-  bool keep_event_order = true;        ///< Of a resumable stream none is passed on that is repeated or comes too early.
+  bool once_unless_repeatable = true;  ///< A request that may have run is sent again only if its route allows that.
+  bool whole_events_only =
+      true;                ///< Only complete events of a stream are forwarded, so that it ends between two events.
+  bool judge_ends = true;  ///< An answer whose bytes have ended is complete only if its answer_reader says so.
+  bool keep_event_order =
+      true;  ///< Events of a resumable stream that are repeated or come too early are not forwarded.
 };
 
-/// All passed-on requests of one node. Single threaded.
+/// All forwarded requests of one node. Single threaded.
 class Forwarder {
  public:
   Forwarder(Environment& environment, Counters& counters, DecisionLog& log, routing::Registry& registry,
             Upstream& upstream, BackendActivityHook on_activity, ForwardGuards guards = {});
 
-  /// Starts a request on @p route. Events may run before this returns only for a refusal.
+  /// Starts a request on @p route. Before this returns, only the callback for a refusal may run.
   ForwardId start(ForwardedRequestPointer request, std::shared_ptr<const Route> route, ForwardEvents events);
-  /// The caller went away: stops the work on the back end.
+  /// Called when the caller has closed its connection: cancels the request at its back end.
   void cancel(ForwardId id);
   void pause(ForwardId id);
   void resume(ForwardId id);
   std::size_t active() const { return requests_.size(); }
   void on_reading(ReadingHook hook) { on_reading_ = std::move(hook); }
-  /// From now on engines are chosen by the calls that the other gateways tell.
-  /// @param delay how late these are told.
+  /// From now on engines are chosen by the open calls that the other gateways report.
+  /// @param delay time by which these reports are late.
   void use_shared_calls(const routing::shared_calls& calls, Duration delay) {
     shared_ = &calls;
     shared_delay_ = delay;
   }
-  /// From now on requests under which back ends end are not sent again. @p guard outlives this.
+  /// From now on requests that terminate back ends are not sent again. @p guard outlives this forwarder.
   void use_repeat_guard(routing::repeat_guard& guard) { repeats_ = &guard; }
-  /// From now on @p placer is asked for engines while it is active. It outlives this.
+  /// From now on @p placer is asked for engines while it is active. It outlives this forwarder.
   void use_placer(engine_placer& placer) { placer_ = &placer; }
-  /// @param allow counts a request to a back end that warms up where this node may send one now; asked only where no
-  ///        other back end is left and there is no placer.
+  /// @param allow returns whether this node may send a request to a back end that warms up now, and if so counts it;
+  ///        called only where no other back end is left and there is no placer.
   void allow_warming(std::function<bool(const routing::Backend&)> allow) { allow_warming_ = std::move(allow); }
-  /// @return moving average of what a live call waits for its first token more where batch work has to yield.
+  /// @return moving average of the extra time to the first token of a live call where a batch call has to free its
+  /// slot.
   Duration time_to_yield() const { return time_to_yield_; }
 
  private:
@@ -86,36 +89,36 @@
     Timestamp sent_at{};
     std::string pool;
     BackendId backend;
-    std::uint64_t life = 0;  ///< Of the back end, when the current send went there.
+    std::uint64_t life = 0;  ///< Incarnation of the back end when the current send went there.
     routing::CallId call = 0;
-    std::uint64_t placing = 0;  ///< Number of the question for an engine that is under way; 0: none.
+    std::uint64_t placing = 0;  ///< Number of the pending query to the placer; 0: none.
     engine_placer::ticket ticket = 0;
-    std::optional<Duration> retry_after;  ///< As the placer said when it rejected the request.
-    bool keeps_start = false;             ///< Of the current send: the engine has likely read the prompt's start.
-    std::uint64_t attempt = 0;            ///< Number of the current send; events of others are dropped.
+    std::optional<Duration> retry_after;  ///< Given by the placer when it rejected the request.
+    bool keeps_start = false;             ///< Of the current send: the engine has likely cached the prompt prefix.
+    std::uint64_t attempt = 0;            ///< Number of the current send; callbacks of other sends are ignored.
     std::uint32_t sends = 0;
-    std::uint32_t runs = 0;  ///< Sends that may have run.
+    std::uint32_t runs = 0;  ///< Sends that the back end may have run.
     std::set<BackendId> tried;
     routing::call_breaks breaks;
-    std::optional<routing::request_fingerprint> fingerprint;  ///< Once it was needed.
+    std::optional<routing::request_fingerprint> fingerprint;  ///< Computed at its first use.
     bool head_seen = false;                                   ///< Of the current send.
     bool head_passed = false;
-    Timestamp first_at{};       ///< When the caller was sent the first of the answer.
-    bool heard = false;         ///< Of the current send: any byte.
-    Timestamp heard_at{};       ///< The first of them.
-    bool awaits_yield = false;  ///< Of the current send: the engine had no free slot, but batch work in some.
+    Timestamp first_at{};       ///< Time at which the first part of the answer was sent to the caller.
+    bool heard = false;         ///< Of the current send: the back end has sent any byte.
+    Timestamp heard_at{};       ///< Of the current send: time of its first byte.
+    bool awaits_yield = false;  ///< Of the current send: a batch call has to free a slot of the engine.
     AnswerHead head;
-    std::string body;      ///< Of an answer that is passed on as a whole.
+    std::string body;      ///< Of an answer that is forwarded only once it is complete.
     answer_reader answer;  ///< Of the current send.
     std::uint64_t last_event = 0;
     std::uint64_t passed_events = 0;
-    std::uint64_t passed_bytes = 0;  ///< Of bodies.
+    std::uint64_t passed_bytes = 0;  ///< Of the body.
   };
 
   void attempt(ForwardId id);
   /// Asks the placer for the engine of a request.
   void ask_for_place(ForwardId id, const std::vector<routing::Backend*>& open, const std::string& key);
-  /// @return what the placer may decide by.
+  /// @return the placer's input for the choice.
   place_query query_for(const Active& active, const std::vector<routing::Backend*>& open, const std::string& key) const;
   void on_placed(ForwardId id, std::uint64_t placing, const place_outcome& outcome);
   /// Sends a request to @p backend, one of @p open.
@@ -130,10 +133,10 @@
   void on_head(ForwardId id, std::uint64_t attempt, AnswerHead head);
   void on_piece(ForwardId id, std::uint64_t attempt, std::string_view piece);
   void pass_events(ForwardId id, std::uint64_t attempt, std::string_view piece);
-  /// Gives up the current send, whose back end goes against the protocol of streams.
+  /// Cancels the current send since its back end violates the protocol of event streams.
   void break_off(ForwardId id, std::uint64_t attempt, answer_end end);
-  /// @return whether @p event is the next one of a stream that may go on elsewhere, or has no number.
   enum class event_place { next, repeated, too_early };
+  /// @return where @p event stands in a resumable stream; always next for other streams and events without a number.
   event_place place_of(const Active& active, const StreamEvent& event) const;
   void on_finished(ForwardId id, std::uint64_t attempt);
   void on_failed(ForwardId id, std::uint64_t attempt, send_failure failure);
@@ -142,7 +145,7 @@
   void complete(ForwardId id);
   void pass_piece(Active& active, std::string_view piece);
   void count_end(answer_end end);
-  /// The answer of the current send will not be whole.
+  /// Counts and logs that the answer of the current send will not be complete.
   void note_broken_off(const Active& active, answer_end end);
   void end_unanswered(ForwardId id, ErrorKind kind, const std::string& detail);
   Duration comeback_time(const Active& active) const;
@@ -152,16 +155,17 @@
   bool is_current(ForwardId id, std::uint64_t attempt) const;
   const std::string& choose_pool(const Route& route);
   std::vector<routing::Backend*> choices(const Active& active);
-  /// @return a back end that warms up and that this node may send @p active to; empty where there is none.
+  /// @return one back end that warms up and that this node may send @p active to; empty where there is none.
   std::vector<routing::Backend*> warming_choice(const Active& active);
-  /// @return the back end of that id, where @p active may be sent to it; null otherwise.
+  /// @return the back end with @p id if @p active may be sent to it; null otherwise.
   routing::Backend* named_backend(const Active& active, const std::vector<routing::Backend*>& open,
                                   const BackendId& id);
   bool may_send_again(const Active& active) const;
-  /// Ends a request that must not be sent to any back end.
-  /// @return whether it did.
-  /// @return whether it goes on with its attempt later.
+  /// Delays the attempt while it is not known yet whether the request terminates back ends.
+  /// @return whether the attempt was delayed.
   bool wait_if_undecided(ForwardId id);
+  /// Refuses a quarantined request, which must not be sent to any back end.
+  /// @return whether the request was refused.
   bool end_if_held_back(ForwardId id);
   static const routing::request_fingerprint& fingerprint_of(Active& active);
 
@@ -177,10 +181,12 @@
   /// Smooth weighted round robin over a route's pools, by route name and pool.
   std::map<std::string, std::map<std::string, std::int64_t>> pool_credit_;
   Duration long_prompt_time_ = 100ms;  ///< Moving average from sending a long prompt to its first token.
-  Duration first_byte_time_{};         ///< Moving average for short prompts where a slot is free.
+  Duration
+      first_byte_time_{};  ///< Moving average of the time to the first byte, for short prompts where a slot is free.
   Duration time_to_yield_{};
-  Duration kept_start_time_{};                 ///< As long_prompt_time_, where the engine keeps the prompt's start.
-  std::map<std::string, Duration> call_time_;  ///< Moving average from sending to the end, by pool.
+  Duration kept_start_time_{};  ///< As long_prompt_time_, where the engine has cached the prompt prefix.
+  std::map<std::string, Duration>
+      call_time_;  ///< Moving average of the time from sending to the end of the answer, by pool.
   const routing::shared_calls* shared_ = nullptr;
   Duration shared_delay_{};
   engine_placer* placer_ = nullptr;
--- a/src/forwarding/route_table.cpp
+++ b/src/forwarding/route_table.cpp
@@ -24,7 +24,7 @@
       return static_cast<RouteKind>(position);
     }
   }
-  throw std::invalid_argument("kind: found " + name + ", allowed is repeatable, unrepeatable, stream or batch");
+  throw std::invalid_argument("kind: found " + name + ", allowed are repeatable, unrepeatable, stream and batch");
 }
 
 Route parse_route(const json::object& fields) {
--- a/src/forwarding/route_table.hpp
+++ b/src/forwarding/route_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Routes: which pool of back ends a passed-on request goes to, and on what terms.
+/// @file Routes: which pool of back ends a request is forwarded to, and with which time limits, retries and priority.
 
 #include <cstdint>
 #include <memory>
@@ -13,12 +13,12 @@
 
 namespace madderdeck::forwarding {
 
-/// What kind of work a route carries.
+/// Kind of the requests of a route.
 enum class RouteKind {
   repeatable,    ///< May run more than once.
   unrepeatable,  ///< Runs at most once for each request.
-  stream,        ///< Answered by a stream of events; runs once unless it may be resumed.
-  batch,         ///< Takes batch jobs.
+  stream,        ///< Answered by a stream of events; runs at most once unless it is resumable.
+  batch,         ///< Accepts batch jobs.
 };
 
 /// A pool and its share of a route's requests.
@@ -27,38 +27,39 @@
   std::uint32_t weight = 1;
 };
 
-/// One route. Times are milliseconds; zero means not stated.
+/// One route. Times are in milliseconds; zero means not set.
 struct Route {
   std::string name;
   std::string host;
   std::string path_prefix;
   RouteKind kind = RouteKind::repeatable;
   std::vector<WeightedPool> pools;
-  std::uint32_t timeout_ms = 0;         ///< Longest that a request may be held.
-  std::uint32_t target_ms = 0;          ///< An answer within it is in time.
-  std::uint32_t silence_ms = 0;         ///< Callers give a stream up that has brought nothing for so long.
-  std::uint32_t max_attempts = 1;       ///< Back ends that one request may run on.
-  std::uint32_t priority = 0;           ///< 0 is the most urgent.
-  bool resumable = false;               ///< A stream may go on at another back end.
-  bool prefix_affinity = false;         ///< Requests with the same prompt start belong together.
-  bool needs_no_key = false;            ///< Callers that show no key are served, too.
-  std::uint32_t run_target_ms = 0;      ///< For batch: when all results are due.
-  std::uint64_t max_queued_tokens = 0;  ///< For batch: what may wait of one tenant over all nodes; 0: no limit.
-  std::uint32_t keep_ms = 0;            ///< For batch: when an item may be given up.
+  std::uint32_t timeout_ms = 0;     ///< Longest time from a request's arrival to the end of its answer.
+  std::uint32_t target_ms = 0;      ///< Time within which an answer counts as in time.
+  std::uint32_t silence_ms = 0;     ///< Callers give up a stream that brought no data for so long.
+  std::uint32_t max_attempts = 1;   ///< Number of back ends that one request may run on.
+  std::uint32_t priority = 0;       ///< 0 is the most urgent.
+  bool resumable = false;           ///< A stream may be resumed on another back end.
+  bool prefix_affinity = false;     ///< Requests with the same prompt prefix prefer the same back end.
+  bool needs_no_key = false;        ///< Callers without a key are served as well.
+  std::uint32_t run_target_ms = 0;  ///< For batch: time within which all results are due.
+  std::uint64_t max_queued_tokens =
+      0;                      ///< For batch: tokens that one tenant may have queued on all nodes together; 0: no limit.
+  std::uint32_t keep_ms = 0;  ///< For batch: time after which an item may be given up.
 
-  /// @return whether running the request twice does no harm.
+  /// @return whether a request of this route may run more than once.
   bool may_repeat() const { return kind == RouteKind::repeatable || (kind == RouteKind::stream && resumable); }
 };
 
 /// A pool of back ends of one kind.
 struct Pool {
   std::string name;
-  std::uint32_t max_connections = 0;  ///< To one back end from all callers together; 0: not stated.
-  std::uint32_t warm_up_ms = 0;       ///< For so long after its start a back end bears few requests; 0: not at all.
-  double warm_up_per_second = 0;      ///< Requests that one bears meanwhile, of all callers together; 0: any number.
+  std::uint32_t max_connections = 0;  ///< To one back end from all callers together; 0: not set.
+  std::uint32_t warm_up_ms = 0;   ///< Time after its start for which a back end can take only few requests; 0: none.
+  double warm_up_per_second = 0;  ///< Requests per second of all callers that it can take in that time; 0: no limit.
 };
 
-/// What callers may send and how long they may take.
+/// Limits on the size of callers' requests and on the time that their connections may take.
 struct CallerLimits {
   std::uint32_t max_header_bytes = 16 * 1024;
   std::uint32_t max_body_bytes = 4 * 1024 * 1024;
@@ -72,7 +73,7 @@
   std::vector<Route> routes;
   std::vector<Pool> pools;
   CallerLimits limits;
-  tenancy::tenant_directory tenants;  ///< Empty: no keys are asked for.
+  tenancy::tenant_directory tenants;  ///< Empty: callers need no key.
 
   /// @return the route of @p host with the longest prefix that begins @p path, or null.
   const Route* match(std::string_view host, std::string_view path) const;
@@ -81,7 +82,7 @@
 using RouteTablePointer = std::shared_ptr<const RouteTable>;
 
 /// Reads the JSON form of format_route_table().
-/// @return ErrorKind::invalid_argument with the field at fault.
+/// @return ErrorKind::invalid_argument with a description of the error.
 Result<RouteTable> parse_route_table(std::string_view text);
 std::string format_route_table(const RouteTable& table);
 
--- a/src/forwarding/upstream.hpp
+++ b/src/forwarding/upstream.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Passing requests to back ends, as decision logic sees it.
+/// @file Interface through which the forwarding logic sends requests to back ends.
 
 #include <functional>
 
@@ -11,23 +11,24 @@
 
 /// One send of a request to one back end.
 struct UpstreamCall {
-  BackendId backend;  ///< Whoever else has its address does not run the request.
+  BackendId backend;  ///< Another back end that now has the same address does not run the request.
   ForwardedRequestPointer request;
-  Duration time_left{};            ///< The back end gives up after it.
-  std::uint64_t resume_after = 0;  ///< The answer goes on after this event.
-  bool may_repeat = false;         ///< Otherwise only a connection that is surely alive is used.
+  Duration time_left{};            ///< Time after which the back end gives the request up.
+  std::uint64_t resume_after = 0;  ///< Number of the event after which the answer is resumed.
+  bool may_repeat = false;         ///< Otherwise only a connection that is known to be alive is used.
 };
 
-/// Head of a back end's answer, as it is passed to the caller.
+/// Head of a back end's answer, as it is forwarded to the caller.
 struct AnswerHead {
   unsigned status = 0;
   net::Headers headers;
   bool event_stream = false;
-  net::body_framing framing = net::body_framing::length;  ///< The back end's, not that towards the caller.
+  net::body_framing framing =
+      net::body_framing::length;  ///< Framing used by the back end, which may differ from that towards the caller.
 };
 
-/// What becomes of a send. Exactly one of finished and failed comes last, unless it is cancelled.
-/// An answer that says the request was not run is a failure.
+/// Callbacks of a send. Unless the send is cancelled, exactly one of finished and failed is called last.
+/// An answer stating that the request was not run counts as a failure.
 struct UpstreamEvents {
   std::function<void(AnswerHead)> head;
   std::function<void(std::string_view piece)> piece;
@@ -35,7 +36,7 @@
   std::function<void(send_failure)> failed;
 };
 
-/// Connections to back ends. Events never run inside start(). Single threaded.
+/// Connections to back ends. Callbacks never run inside start(). Single threaded.
 class Upstream {
  public:
   virtual ~Upstream() = default;
--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -67,7 +67,7 @@
           routing::Refusal{{ErrorKind::unavailable, "this node has no configuration yet"}, routing::Ran::no, 1s}));
       return;
     }
-    exchange->respond(problem(Error{ErrorKind::unauthenticated, "no tenant goes with the bearer key"}));
+    exchange->respond(problem(Error{ErrorKind::unauthenticated, "the bearer key belongs to no tenant"}));
     return;
   }
   const bool is_work = request.method == "POST" && !path.ends_with("/cancel");
@@ -83,7 +83,7 @@
       return;
     }
     exchange->respond(problem(routing::Refusal{
-        {ErrorKind::limit_exceeded, "the tenant's rate is used up"}, routing::Ran::no, decision.retry_after}));
+        {ErrorKind::limit_exceeded, "the tenant's rate limit is exceeded"}, routing::Ran::no, decision.retry_after}));
   });
 }
 
@@ -108,7 +108,7 @@
 void Api::handle_operator(const ExchangePointer& exchange) {
   const net::HttpRequest& request = exchange->request();
   if (!context_.operator_key.empty() && bearer_key(request) != context_.operator_key) {
-    exchange->respond(problem(Error{ErrorKind::unauthenticated, "the operators' key is needed"}));
+    exchange->respond(problem(Error{ErrorKind::unauthenticated, "the operator key is required"}));
     return;
   }
   const std::string_view path = request.path();
--- a/src/gateway/api.hpp
+++ b/src/gateway/api.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The HTTP API of a node: callers under /v1, operators under /admin, health and metrics.
+/// @file The HTTP API of a node: for callers under /v1, for operators under /admin, and health and metrics endpoints.
 
 #include <functional>
 #include <memory>
@@ -12,7 +12,7 @@
 
 using ExchangePointer = std::shared_ptr<net::Exchange>;
 
-/// What the handlers share.
+/// State shared by the handlers.
 struct ApiContext {
   node::NodeCore& core;
   std::string operator_key;  ///< Empty: operators need no key.
@@ -20,13 +20,13 @@
   bool drain_started = false;
 };
 
-/// Sends each request to its handler.
+/// Dispatches each request to its handler.
 class Api {
  public:
   explicit Api(ApiContext& context) : context_(context) {}
 
   void handle(const ExchangePointer& exchange);
-  /// @return whether the request's body is taken piece by piece (job submissions).
+  /// @return whether the request's body is read piece by piece (job submissions).
   static bool streams_body(const net::HttpRequest& request);
 
  private:
@@ -38,12 +38,12 @@
 };
 
 /// Answers health, readiness and metrics, for which no key is needed.
-/// @return whether the path was one of theirs; otherwise nothing has been answered.
+/// @return whether @p exchange was answered, which is the case for the paths of these endpoints only.
 bool answer_probe(ApiContext& context, const ExchangePointer& exchange);
-/// As above; any other path is not found.
+/// As answer_probe(), but answers any other path with not_found.
 void handle_probe(ApiContext& context, const ExchangePointer& exchange);
 
-/// Handlers, one file each.
+/// Handlers of single endpoints.
 void handle_completion(ApiContext& context, const ExchangePointer& exchange,
                        const std::shared_ptr<const config::Tenant>& tenant, bool chat);
 void handle_models(ApiContext& context, const ExchangePointer& exchange);
--- a/src/gateway/batches.cpp
+++ b/src/gateway/batches.cpp
@@ -1,4 +1,4 @@
-/// @file Batch jobs: submitting, progress, results, cancelling.
+/// @file Batch jobs: submission, progress, results, cancellation.
 
 #include <boost/json.hpp>
 #include <charconv>
@@ -44,7 +44,7 @@
   return number;
 }
 
-/// Takes a job line by line as its body arrives.
+/// Submits a job line by line as its body arrives.
 class JobUpload : public std::enable_shared_from_this<JobUpload> {
  public:
   JobUpload(ApiContext& context, ExchangePointer exchange, batch::JobRequest request)
@@ -176,7 +176,7 @@
   } else if (!kind->batch || kind->target != config::Target::model) {
     exchange->respond(problem(Error{ErrorKind::invalid_argument, "template " + kind->name + " takes no batch jobs"}));
   } else if (job.idempotency_key.empty()) {
-    exchange->respond(problem(Error{ErrorKind::invalid_argument, "Idempotency-Key: a job needs one"}));
+    exchange->respond(problem(Error{ErrorKind::invalid_argument, "Idempotency-Key: required for a batch job"}));
   } else {
     std::make_shared<JobUpload>(context, exchange, std::move(job))->begin();
   }
@@ -184,7 +184,8 @@
 
 using RecordDone = std::function<void(const wire::JobRecordT&)>;
 
-/// Reads a job of the tenant and goes on with it, or answers why not.
+/// Reads the record of a job and calls @p next with it; answers with an error if the tenant has no such job or the read
+/// fails.
 void with_job(ApiContext& context, const ExchangePointer& exchange, const std::string& tenant, const JobId& job,
               RecordDone next) {
   context.core.ledger.read(batch::job_key(job), [exchange, tenant, job, next](Result<ledger::OptionalValue> result) {
@@ -201,7 +202,7 @@
   });
 }
 
-/// Counts the results of a job page by page.
+/// Counts the results of a job, reading one page at a time.
 void count_results(ApiContext& context, const ExchangePointer& exchange, const wire::JobRecordT& record,
                    const std::string& after, std::uint32_t counted, std::uint32_t failed) {
   const JobId job(record.id);
@@ -272,7 +273,7 @@
   });
 }
 
-/// Lists the tenant's jobs, group by group.
+/// Lists the tenant's jobs, reading one replica group after the other.
 void list_jobs(ApiContext& context, const ExchangePointer& exchange, const std::string& tenant, std::uint32_t group,
                const std::string& after, const std::shared_ptr<json::array>& found) {
   if (group >= context.core.ledger.group_map().groups.size()) {
--- a/src/gateway/completions.cpp
+++ b/src/gateway/completions.cpp
@@ -12,7 +12,7 @@
 namespace json = boost::json;
 constexpr std::size_t kBacklogHigh = 256 * 1024;
 
-/// A caller's completion request, checked.
+/// A validated completion request.
 struct CompletionRequest {
   std::string template_name;
   std::string prompt;
@@ -23,7 +23,7 @@
 Result<std::string> chat_prompt(const json::object& fields) {
   const json::value* messages = fields.if_contains("messages");
   if (messages == nullptr || !messages->is_array() || messages->as_array().empty()) {
-    return Error{ErrorKind::invalid_argument, "messages: a list with at least one message is needed"};
+    return Error{ErrorKind::invalid_argument, "messages: must be a list with at least one message"};
   }
   std::string prompt;
   for (const json::value& message : messages->as_array()) {
@@ -31,7 +31,7 @@
     const json::value* role = parts == nullptr ? nullptr : parts->if_contains("role");
     const json::value* content = parts == nullptr ? nullptr : parts->if_contains("content");
     if (role == nullptr || content == nullptr || !role->is_string() || !content->is_string()) {
-      return Error{ErrorKind::invalid_argument, "messages: each needs a role and a content, both strings"};
+      return Error{ErrorKind::invalid_argument, "messages: each must have a role and a content, both strings"};
     }
     prompt.append(role->as_string()).append(": ").append(content->as_string()).append("\n");
   }
@@ -43,12 +43,12 @@
   const json::value value = json::parse(body, failure);
   const json::object* fields = value.if_object();
   if (failure || fields == nullptr) {
-    return Error{ErrorKind::invalid_argument, "body: a JSON object is needed"};
+    return Error{ErrorKind::invalid_argument, "body: must be a JSON object"};
   }
   CompletionRequest request;
   const json::value* model = fields->if_contains("model");
   if (model == nullptr || !model->is_string()) {
-    return Error{ErrorKind::invalid_argument, "model: the name of a template is needed"};
+    return Error{ErrorKind::invalid_argument, "model: must be the name of a template"};
   }
   request.template_name = std::string(model->as_string());
   if (chat) {
@@ -60,26 +60,26 @@
   } else {
     const json::value* prompt = fields->if_contains("prompt");
     if (prompt == nullptr || !prompt->is_string()) {
-      return Error{ErrorKind::invalid_argument, "prompt: a string is needed"};
+      return Error{ErrorKind::invalid_argument, "prompt: must be a string"};
     }
     request.prompt = std::string(prompt->as_string());
   }
   if (const json::value* tokens = fields->if_contains("max_tokens")) {
     if (!tokens->is_int64() || tokens->as_int64() < 1 || tokens->as_int64() > UINT32_MAX) {
-      return Error{ErrorKind::invalid_argument, "max_tokens: a whole number from 1 is needed"};
+      return Error{ErrorKind::invalid_argument, "max_tokens: must be an integer of at least 1"};
     }
     request.max_tokens = static_cast<std::uint32_t>(tokens->as_int64());
   }
   if (const json::value* stream = fields->if_contains("stream")) {
     if (!stream->is_bool()) {
-      return Error{ErrorKind::invalid_argument, "stream: true or false is needed"};
+      return Error{ErrorKind::invalid_argument, "stream: must be true or false"};
     }
     request.stream = stream->as_bool();
   }
   return request;
 }
 
-/// One answer on its way to the caller.
+/// The answer to one completion request, sent to the caller as a stream or at once.
 class CompletionAnswer : public std::enable_shared_from_this<CompletionAnswer> {
  public:
   CompletionAnswer(ApiContext& context, ExchangePointer exchange, const CompletionRequest& request, bool chat)
@@ -89,7 +89,7 @@
         stream_(request.stream),
         chat_(chat) {
     id_ = (chat ? "chatcmpl-" : "cmpl-") + hex64(context.core.environment.random());
-    // The part of each event before the text and after it never changes.
+    // The parts of each event before and after the text are the same for all events.
     const json::string escaped_model(model_);
     const std::string head = "data: {\"id\":\"" + id_ + "\",\"object\":\"" +
                              (chat ? "chat.completion.chunk" : "text_completion") +
@@ -175,7 +175,8 @@
       exchange_->respond(problem(refusal));
       return;
     }
-    // The stream has begun: say why it ends and break it off, so that no part passes for the whole.
+    // The stream has begun: send the error as an event and abort the connection, so that the caller does not take the
+    // incomplete answer for a complete one.
     exchange_->write("event: error\ndata: " + problem_body(refusal) + "\n\n");
     exchange_->abort();
   }
--- a/src/gateway/group_status.hpp
+++ b/src/gateway/group_status.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The replica groups as a node's status shows them.
+/// @file Describes the replica groups in a node's status document.
 
 #include <boost/json.hpp>
 
@@ -7,8 +7,8 @@
 
 namespace madderdeck::gateway {
 
-/// @return each group with its members as @p health sees them and, of one without a majority, the disks that it names
-///         and that are gone for good.
+/// @return each group with the state of its members according to @p health. A group without a majority also lists its
+///         permanently gone disks.
 boost::json::array describe_groups(const ledger::group_health& health);
 
 }  // namespace madderdeck::gateway
--- a/src/gateway/operators.cpp
+++ b/src/gateway/operators.cpp
@@ -1,4 +1,4 @@
-/// @file Declared objects and status, for operators.
+/// @file Operator endpoints: configuration objects and status.
 
 #include <boost/json.hpp>
 #include <charconv>
@@ -46,8 +46,8 @@
   const std::string expected = request.query("expected");
   const auto parsed = std::from_chars(expected.data(), expected.data() + expected.size(), put.expected_revision);
   if (expected.empty() || parsed.ec != std::errc()) {
-    exchange->respond(problem(
-        Error{ErrorKind::invalid_argument, "expected: the revision that is being replaced is needed, 0 for none"}));
+    exchange->respond(
+        problem(Error{ErrorKind::invalid_argument, "expected: must be the revision to replace, 0 for a new object"}));
     return;
   }
   const Status checked = put.remove ? Status(Ok{}) : config::check_object(key.kind, key.name, put.body);
@@ -82,7 +82,7 @@
   return members;
 }
 
-/// @return how this node's own disk stands.
+/// @return the state of this node's own disk in the status document.
 const char* disk_state(const node::NodeCore& core) {
   if (!core.replica) {
     return "none";
@@ -119,7 +119,7 @@
   rest.erase(0, 1);
   const std::size_t slash = rest.find('/');
   if (slash == std::string::npos) {
-    exchange->respond(problem(Error{ErrorKind::invalid_argument, "the path is /admin/objects/KIND/NAME"}));
+    exchange->respond(problem(Error{ErrorKind::invalid_argument, "the path must be /admin/objects/KIND/NAME"}));
     return;
   }
   const config::EntryKey key{rest.substr(0, slash), rest.substr(slash + 1)};
@@ -133,7 +133,7 @@
   } else if (request.method == "PUT" || request.method == "DELETE") {
     declare(context, exchange, key);
   } else {
-    exchange->respond(problem(Error{ErrorKind::invalid_argument, "allowed are GET, PUT and DELETE"}));
+    exchange->respond(problem(Error{ErrorKind::invalid_argument, "allowed methods are GET, PUT and DELETE"}));
   }
 }
 
--- a/tests/forwarding/engine_choice_test.cpp
+++ b/tests/forwarding/engine_choice_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr unsigned kEngines = 4;
 
-/// Idle engines of eight slots.
+/// Idle engines with eight slots each.
 struct ChoiceFixture {
   ChoiceFixture() {
     for (unsigned number = 0; number < kEngines; ++number) {
@@ -26,7 +26,7 @@
     }
     return all;
   }
-  /// @return how often @p engine is chosen among many draws.
+  /// @return how often @p engine is chosen in 200 choices.
   std::size_t draws_of(const routing::Backend& engine, std::string_view key = "") {
     std::size_t drawn = 0;
     for (std::size_t draw = 0; draw < 200; ++draw) {
@@ -42,18 +42,18 @@
 
 }  // namespace
 
-TEST_CASE("short requests keep away from an engine that reads a long prompt") {
-  // Day quiet-1 of ravelin-deck: live replies waited 300 to 470 ms behind a prompt that another gateway had sent.
+TEST_CASE("short requests avoid an engine that prefills a long prompt") {
+  // Guards against live replies that wait 300 to 470 ms behind the prefill of a prompt sent by another gateway.
   ChoiceFixture fixture;
   CHECK(fixture.draws_of(fixture.engines[1]) > 0);
   fixture.engines[1].reading_until = fixture.now + 200ms;
-  // Four draws out of four may still all fall on it.
+  // The bound allows for choices in which all four samples fall on this engine.
   CHECK(fixture.draws_of(fixture.engines[1]) < 10);
   fixture.engines[1].reading_until = fixture.now;
   CHECK(fixture.draws_of(fixture.engines[1]) > 10);
 }
 
-TEST_CASE("an engine that reads a long prompt is still taken when the others are far fuller") {
+TEST_CASE("an engine that prefills a long prompt is still chosen when the others have far more load") {
   ChoiceFixture fixture;
   fixture.engines[1].reading_until = fixture.now + 200ms;
   for (const unsigned other : {0U, 2U, 3U}) {
@@ -62,7 +62,7 @@
   CHECK(fixture.draws_of(fixture.engines[1]) > 100);
 }
 
-TEST_CASE("a long prompt goes to the next engine in its order while the first one reads another") {
+TEST_CASE("a long prompt goes to the next engine in affinity order while the preferred one prefills another prompt") {
   ChoiceFixture fixture;
   const routing::Backend& first = choose_backend({fixture.candidates(), "key", fixture.now, 1});
   CHECK(fixture.draws_of(first, "key") == 200);
@@ -74,7 +74,7 @@
 
 namespace {
 
-/// What another gateway tells of one engine.
+/// @return another gateway's call report about one engine.
 wire::EngineActivityT told_of(const BackendId& engine, std::uint32_t live, std::uint32_t batch) {
   wire::EngineActivityT message;
   message.node = "other";
@@ -88,8 +88,10 @@
 
 }  // namespace
 
-TEST_CASE("a live call goes where a slot is free, then where batch yields, then where fewest wait") {
-  // bmpua-deck in a burst: 5 to 10 in 100 live replies waited for a slot while other engines had one.
+TEST_CASE(
+    "a live call goes to a free slot, else to an engine with batch calls, else to the one with the fewest waiting "
+    "calls") {
+  // Guards against bursts in which 5 to 10 in 100 live replies waited for a slot while other engines had a free one.
   ChoiceFixture fixture;
   routing::shared_calls shared;
   shared.take(told_of(fixture.engines[0].machine.id, 8, 0), fixture.now);
@@ -105,8 +107,9 @@
   CHECK(&choose_backend(input) != &fixture.engines[3]);
 }
 
-TEST_CASE("an engine that still runs what a dead node has sent counts as taken") {
-  // Day trouble-1 of bmpua-deck, after a loss of power: requests waited 2 s at engines that nobody told of.
+TEST_CASE("unattributed requests of an engine, such as those of a failed node, count as its load") {
+  // Guards against requests that waited 2 s at engines busy with calls of a node that had lost power, since no other
+  // node reported these calls.
   ChoiceFixture fixture;
   routing::shared_calls shared;
   shared.take(told_of(fixture.engines[1].machine.id, 1, 0), fixture.now);
--- a/tests/forwarding/event_splitter_test.cpp
+++ b/tests/forwarding/event_splitter_test.cpp
@@ -12,7 +12,7 @@
   std::string bytes;
 };
 
-/// Feeds @p text in pieces of @p size.
+/// Feeds @p text to a splitter in pieces of @p size bytes.
 Seen split(const std::string& text, std::size_t size, bool* at_boundary = nullptr) {
   EventSplitter splitter;
   Seen seen;
--- a/tests/forwarding/forwarder_test.cpp
+++ b/tests/forwarding/forwarder_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Back ends whose every event the test gives.
+/// Back ends whose callbacks the test calls.
 class FakeUpstream : public Upstream {
  public:
   struct Call {
@@ -33,7 +33,7 @@
   std::vector<Call> calls;
 };
 
-/// Names the engines that the test says, when the test says.
+/// Replies with the engines that the test chooses, when the test calls the stored callbacks.
 class scripted_placer : public engine_placer {
  public:
   bool active() const override { return on; }
@@ -52,7 +52,7 @@
   int long_starts = 0;
 };
 
-/// What the caller has got.
+/// Records what the caller has received.
 struct Caller {
   std::optional<AnswerHead> head;
   std::string body;
@@ -122,11 +122,11 @@
 
 }  // namespace
 
-TEST_CASE("an answer is passed on whole, with its status") {
+TEST_CASE("an answer that is not a stream is forwarded once it is complete, with its status") {
   Fixture fixture;
   fixture.start();
   fixture.answer(0, 404, "no such slot");
-  CHECK_FALSE(fixture.caller.head);  // not before it is whole
+  CHECK_FALSE(fixture.caller.head);  // not before it is complete
   fixture.call(0).events.finished();
   REQUIRE(fixture.caller.head);
   CHECK(fixture.caller.head->status == 404);
@@ -134,7 +134,7 @@
   CHECK(fixture.forwarder.active() == 0);
 }
 
-TEST_CASE("a repeatable request whose answer breaks off goes to another back end") {
+TEST_CASE("a repeatable request whose answer breaks off is sent to another back end") {
   Fixture fixture;
   fixture.start();
   fixture.answer(0, 200, "hal");
@@ -146,7 +146,7 @@
   CHECK(fixture.caller.body == "whole");
 }
 
-TEST_CASE("what may have run is not sent again unless it may be repeated") {
+TEST_CASE("an unrepeatable request that may have run is not sent again") {
   Fixture fixture;
   fixture.route->kind = RouteKind::unrepeatable;
   fixture.start();
@@ -156,7 +156,8 @@
   CHECK(fixture.caller.refusal->ran == routing::Ran::unknown);
 }
 
-TEST_CASE("what was certainly not run moves on, and says so when nobody takes it") {
+TEST_CASE(
+    "a request that certainly did not run is sent to other back ends, and is refused as not run when all refuse it") {
   Fixture fixture;
   fixture.route->kind = RouteKind::unrepeatable;
   fixture.start();
@@ -169,7 +170,7 @@
   CHECK(fixture.caller.refusal->retry_after > Duration::zero());
 }
 
-TEST_CASE("no more back ends run a request than its route allows") {
+TEST_CASE("a request runs on no more back ends than its route allows") {
   Fixture fixture;
   fixture.start();
   fixture.call(0).events.failed(CallFailure::broken);
@@ -179,7 +180,7 @@
   CHECK(fixture.caller.refusal->ran == routing::Ran::unknown);
 }
 
-TEST_CASE("the final answer comes at the earlier of time-out and the caller's patience") {
+TEST_CASE("a request is refused at the route's timeout or the caller's, whichever is earlier") {
   Fixture fixture;
   fixture.route->kind = RouteKind::unrepeatable;
   fixture.start(400ms);
@@ -191,7 +192,7 @@
   CHECK(fixture.call(0).cancelled);
 }
 
-TEST_CASE("each send states the time that is left") {
+TEST_CASE("each send states the time left until the deadline") {
   Fixture fixture;
   fixture.start();
   CHECK(fixture.call(0).call.time_left == 1s);
@@ -200,7 +201,7 @@
   CHECK(fixture.call(1).call.time_left == 750ms);
 }
 
-TEST_CASE("a caller that goes away stops the work") {
+TEST_CASE("cancelling a request cancels its call at the back end") {
   Fixture fixture;
   const ForwardId id = fixture.start();
   fixture.forwarder.cancel(id);
@@ -208,7 +209,7 @@
   CHECK(fixture.forwarder.active() == 0);
 }
 
-TEST_CASE("a resumable stream goes on after the last whole event, under its first head") {
+TEST_CASE("a resumable stream is resumed after its last complete event and keeps its first head") {
   Fixture fixture;
   fixture.route->kind = RouteKind::stream;
   fixture.route->resumable = true;
@@ -223,7 +224,7 @@
   CHECK(fixture.caller.body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
 }
 
-TEST_CASE("repeated events are dropped and a gap is taken up elsewhere") {
+TEST_CASE("repeated events are dropped, and a stream with a gap is resumed on another back end") {
   Fixture fixture;
   fixture.route->kind = RouteKind::stream;
   fixture.route->resumable = true;
@@ -235,7 +236,7 @@
   CHECK(fixture.call(1).call.resume_after == 1);
 }
 
-TEST_CASE("a stream that may not be resumed is broken off when its back end fails") {
+TEST_CASE("a stream that is not resumable is broken off when its back end fails") {
   Fixture fixture;
   fixture.route->kind = RouteKind::stream;
   fixture.start();
@@ -246,8 +247,9 @@
   CHECK(fixture.upstream.calls.size() == 1);
 }
 
-// Half an event was the last that the caller got, and its answer was finished.
-TEST_CASE("a stream that may not be resumed and ends inside an event is broken off after its last whole one") {
+// Guards against an incomplete event being forwarded as the last one and the answer being finished as if it were
+// complete.
+TEST_CASE("a stream that is not resumable and ends inside an event is broken off after its last complete event") {
   const std::string first = "id: 1\ndata: a\n\n";
   const std::string second = "id: 2\r\ndata: b\r\n\r\n";
   for (std::size_t cut = 1; cut < second.size(); ++cut) {
@@ -263,7 +265,7 @@
   }
 }
 
-TEST_CASE("a stream that ends inside its first event is refused with a status, as one that may have run") {
+TEST_CASE("a request whose stream ends inside its first event is refused as one that may have run") {
   Fixture fixture;
   fixture.route->kind = RouteKind::stream;
   fixture.start();
@@ -274,7 +276,7 @@
   CHECK(fixture.caller.refusal->ran == routing::Ran::unknown);
 }
 
-TEST_CASE("events of a stream that may not be resumed are passed on as they are, each at once") {
+TEST_CASE("events of a stream that is not resumable are forwarded unchanged and immediately") {
   Fixture fixture;
   fixture.route->kind = RouteKind::stream;
   fixture.start();
@@ -286,7 +288,8 @@
   CHECK(fixture.caller.body == events + "\r\n");
 }
 
-TEST_CASE("a success without a length that ends before its body is broken, with a length it is whole") {
+TEST_CASE(
+    "a successful answer with an empty body is complete if it has a length, and broken off if it ends by closing") {
   for (const bool stream : {true, false}) {
     for (const net::body_framing framing : {net::body_framing::until_close, net::body_framing::length}) {
       Fixture fixture;
@@ -301,7 +304,7 @@
   }
 }
 
-TEST_CASE("an event that does not end is given up at its limit") {
+TEST_CASE("a stream whose event exceeds the size limit is cancelled") {
   Fixture fixture;
   fixture.route->kind = RouteKind::stream;
   fixture.start();
@@ -315,7 +318,7 @@
   CHECK(fixture.counters["forward_events_too_long_total"] == 1);
 }
 
-TEST_CASE("a silent back end is left in time, one that answers others is not") {
+TEST_CASE("a request leaves an unresponsive back end after a timeout, but not one that answers other calls") {
   Fixture fixture(2);
   fixture.start();
   fixture.environment.world.run_for(390ms);
@@ -330,7 +333,7 @@
   CHECK(dark.upstream.calls.size() == 2);
 }
 
-TEST_CASE("pools get their weights' shares") {
+TEST_CASE("pools get requests in proportion to their weights") {
   Fixture fixture;
   fixture.route->pools = {{"pool", 3}, {"other", 1}};
   unsigned sent = 0;
@@ -342,7 +345,7 @@
   CHECK(sent == 30);  // the other pool has no back end
 }
 
-TEST_CASE("events of an earlier send change nothing") {
+TEST_CASE("callbacks of an earlier send are ignored") {
   Fixture fixture;
   fixture.start();
   fixture.call(0).events.failed(CallFailure::broken);
@@ -354,7 +357,7 @@
 
 namespace {
 
-/// A forwarder whose engines a placer names.
+/// A forwarder with a placer that chooses its engines.
 struct placed_fixture : Fixture {
   explicit placed_fixture(std::size_t backends = 3) : Fixture(backends) { forwarder.use_placer(placer); }
   scripted_placer placer;
@@ -362,7 +365,7 @@
 
 }  // namespace
 
-TEST_CASE("the engine that the placer names is used") {
+TEST_CASE("a request is sent to the engine that the placer chose") {
   placed_fixture fixture;
   fixture.start();
   CHECK(fixture.upstream.calls.empty());
@@ -371,9 +374,9 @@
   CHECK(fixture.call(0).call.backend == BackendId("engine-2"));
 }
 
-// A fleet of 10,000 engines, of which each gateway uses 1,000 by its own choice: nine in ten of the engines that
-// coordinators named were not among them, and the gateways chose by themselves.
-TEST_CASE("an engine that the placer names is used, also where it is not among this node's own") {
+// Guards against gateways ignoring engines outside their own subset: in a fleet of 10,000 engines with subsets of
+// 1,000, nine in ten of the engines that coordinators chose were outside, and the gateways chose others themselves.
+TEST_CASE("an engine that the placer chose is used even if it is outside this node's subset") {
   constexpr std::size_t kEngines = 40;
   placed_fixture fixture(kEngines);
   fixture.registry.set_subset_size(4);
@@ -384,13 +387,13 @@
     other = fixture.registry.in_subset(id) ? "" : id.str();
   }
   fixture.start();
-  SECTION("one that takes requests") {
+  SECTION("an engine that accepts requests") {
     fixture.placer.answers.at(0)(place_answer{BackendId(other), false});
     REQUIRE(fixture.upstream.calls.size() == 1);
     CHECK(fixture.call(0).call.backend.str() == other);
     CHECK(fixture.counters["forward_places_own_choice_total"] == 0);
   }
-  SECTION("one that this node could not reach") {
+  SECTION("an engine that this node could not reach") {
     fixture.registry.on_failure(BackendId(other), CallFailure::not_sent);
     fixture.placer.answers.at(0)(place_answer{BackendId(other), false});
     REQUIRE(fixture.upstream.calls.size() == 1);
@@ -398,26 +401,26 @@
   }
 }
 
-TEST_CASE("engines that warm up are used where a placer names them, without one by the gateway that may") {
+TEST_CASE("engines that warm up are used if the placer chose them or, without a placer, if the gateway is allowed to") {
   placed_fixture fixture;
   fixture.registry.set_warm_up("pool", {3s, 5});
   for (const auto& key : fixture.keys) {
     fixture.registry.note_possible_start(BackendId(key.name));
   }
-  SECTION("a placer") {
+  SECTION("active placer") {
     fixture.start();
     REQUIRE(fixture.placer.answers.size() == 1);
     fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
     CHECK(fixture.call(0).call.backend.str() == "engine-1");
   }
-  SECTION("no placer, not this gateway") {
+  SECTION("no placer, gateway not allowed") {
     fixture.placer.on = false;
     fixture.start();
     CHECK(fixture.upstream.calls.empty());
     REQUIRE(fixture.caller.refusal);
     CHECK(fixture.caller.refusal->ran == routing::Ran::no);
   }
-  SECTION("no placer, this gateway") {
+  SECTION("no placer, gateway allowed") {
     fixture.placer.on = false;
     fixture.forwarder.allow_warming(
         [](const routing::Backend& backend) { return backend.machine.id == BackendId("engine-2"); });
@@ -427,28 +430,29 @@
   }
 }
 
-TEST_CASE("without an answer, or with an engine that is not known here, the forwarder chooses itself") {
+TEST_CASE("the forwarder chooses an engine itself if the placer names none or an unknown one") {
   placed_fixture fixture;
   fixture.start();
-  SECTION("no answer") { fixture.placer.answers.at(0)(std::nullopt); }
+  SECTION("no engine") { fixture.placer.answers.at(0)(std::nullopt); }
   SECTION("unknown engine") { fixture.placer.answers.at(0)(place_answer{BackendId("elsewhere"), false}); }
   CHECK(fixture.upstream.calls.size() == 1);
   CHECK(fixture.counters["forward_places_own_choice_total"] == 1);
 }
 
-TEST_CASE("a second send asks again and excludes the first engine") {
+TEST_CASE("a second send queries the placer again and excludes the first engine") {
   placed_fixture fixture;
   fixture.start();
   fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
   fixture.call(0).events.failed(CallFailure::not_sent);
   REQUIRE(fixture.placer.queries.size() == 2);
   CHECK(fixture.placer.queries.at(1).excluded.contains(BackendId("engine-1")));
-  fixture.placer.answers.at(1)(place_answer{BackendId("engine-1"), false});  // tried before: not again
+  fixture.placer.answers.at(1)(
+      place_answer{BackendId("engine-1"), false});  // was tried before, so it is not used again
   REQUIRE(fixture.upstream.calls.size() == 2);
   CHECK(fixture.call(1).call.backend != BackendId("engine-1"));
 }
 
-TEST_CASE("a caller that leaves while an engine is asked for is forgotten, and a late answer sends nothing") {
+TEST_CASE("a request that is cancelled during a placer query is removed, and a late reply sends nothing") {
   placed_fixture fixture;
   const ForwardId id = fixture.start();
   fixture.forwarder.cancel(id);
@@ -457,7 +461,7 @@
   CHECK(fixture.upstream.calls.empty());
 }
 
-TEST_CASE("a request whose time ends while an engine is asked for has not run") {
+TEST_CASE("a request that reaches its deadline during a placer query has not run") {
   placed_fixture fixture;
   fixture.start();
   fixture.environment.world.run_for(1100ms);
@@ -467,7 +471,7 @@
   CHECK(fixture.upstream.calls.empty());
 }
 
-TEST_CASE("a request that may have run before stays unknown when its time ends while an engine is asked for") {
+TEST_CASE("a request that may have run before is refused as unknown at a deadline during a placer query") {
   placed_fixture fixture;
   fixture.start();
   fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
@@ -478,7 +482,7 @@
   CHECK(fixture.caller.refusal->ran == routing::Ran::unknown);
 }
 
-TEST_CASE("a placer that is not active is not asked") {
+TEST_CASE("an inactive placer is not queried") {
   placed_fixture fixture;
   fixture.placer.on = false;
   fixture.start();
@@ -488,7 +492,7 @@
 
 namespace {
 
-/// Remembers what it is told; the test says whether a back end ended.
+/// Records the reported calls; the test decides whether a back end terminated.
 class scripted_guard : public routing::repeat_guard {
  public:
   bool remembers_any() const override { return suspected || held; }
@@ -513,7 +517,7 @@
 
 }  // namespace
 
-TEST_CASE("a request under which back ends ended is refused at once, as not run, without a time to come back") {
+TEST_CASE("a quarantined request is refused at once as not run, without a retry time") {
   Fixture fixture;
   scripted_guard guard;
   guard.held = true;
@@ -526,7 +530,7 @@
   CHECK(fixture.caller.refusal->retry_after == Duration::zero());
 }
 
-TEST_CASE("a request that cannot be judged yet is judged a moment later, and sent once") {
+TEST_CASE("a request whose quarantine is undecided waits for the decision and is sent at most once") {
   Fixture fixture;
   scripted_guard guard;
   guard.suspected = true;
@@ -537,12 +541,12 @@
   CHECK(fixture.upstream.calls.empty());
   CHECK_FALSE(fixture.caller.refusal);
   guard.undecided = Duration::zero();
-  SECTION("another one explains what happened") {
+  SECTION("the request is not quarantined") {
     fixture.environment.world.run_for(2ms);
     CHECK(fixture.upstream.calls.size() == 1);
     CHECK_FALSE(fixture.caller.refusal);
   }
-  SECTION("nothing else does") {
+  SECTION("the request is quarantined") {
     guard.held = true;
     fixture.environment.world.run_for(2ms);
     CHECK(fixture.upstream.calls.empty());
@@ -551,7 +555,7 @@
   }
 }
 
-TEST_CASE("a request that waits for an engine is not sent once others know what it does") {
+TEST_CASE("a request that is quarantined during a placer query is not sent") {
   Fixture fixture;
   scripted_guard guard;
   scripted_placer placer;
@@ -566,9 +570,10 @@
   CHECK(fixture.caller.refusal->error.kind == ErrorKind::quarantined);
 }
 
-// The verdict is put off on both ways to an engine: where a coordinator names it, a request was refused for what
-// another one did that ran beside it.
-TEST_CASE("a request that got its engine while it cannot be judged asks for one again a moment later") {
+// The decision is awaited after a placer query as well. Otherwise a request whose engine a coordinator chose was
+// refused because of a concurrent request that terminated the back end.
+TEST_CASE(
+    "a request whose quarantine is undecided when the placer replies queries the placer again after the decision") {
   Fixture fixture;
   scripted_guard guard;
   scripted_placer placer;
@@ -589,7 +594,7 @@
   CHECK(fixture.upstream.calls.size() == 1);
 }
 
-TEST_CASE("the first break of a call that nobody suspects is tried again at once") {
+TEST_CASE("a call that is not suspected is retried at once after its first broken connection") {
   Fixture fixture;
   scripted_guard guard;
   fixture.forwarder.use_repeat_guard(guard);
@@ -600,10 +605,10 @@
   fixture.answer(1, 200, "whole");
   fixture.call(1).events.finished();
   CHECK(fixture.caller.body == "whole");
-  CHECK(guard.answered == 0);  // nothing is remembered
+  CHECK(guard.answered == 0);  // the guard suspects no request, so that answers are not reported to it
 }
 
-TEST_CASE("a suspected call waits until it is known whether its back end ended") {
+TEST_CASE("a suspected call is retried only once it is known whether its back end terminated") {
   Fixture fixture;
   scripted_guard guard;
   guard.suspected = true;
@@ -611,14 +616,14 @@
   fixture.start();
   fixture.call(0).events.failed(CallFailure::broken);
   CHECK(fixture.upstream.calls.size() == 1);
-  guard.verdicts.at(0)(false);  // only the connection broke
+  guard.verdicts.at(0)(false);  // only the connection was lost
   REQUIRE(fixture.upstream.calls.size() == 2);
   fixture.answer(1, 200, "whole");
   fixture.call(1).events.finished();
   CHECK(guard.answered == 1);
 }
 
-TEST_CASE("one call ends no third back end") {
+TEST_CASE("a call that terminated two back ends is not sent to a third one") {
   Fixture fixture(5);
   fixture.route->max_attempts = 5;
   scripted_guard guard;
@@ -636,7 +641,7 @@
   CHECK(fixture.caller.refusal->ran == routing::Ran::unknown);
 }
 
-TEST_CASE("a caller that leaves while the end of its back end is in question is not called back") {
+TEST_CASE("a request cancelled before the decision about its back end is neither sent again nor refused") {
   Fixture fixture;
   scripted_guard guard;
   guard.suspected = true;
--- a/tests/forwarding/route_table_test.cpp
+++ b/tests/forwarding/route_table_test.cpp
@@ -27,7 +27,7 @@
 }
 }  // namespace
 
-TEST_CASE("the longest prefix of the host wins") {
+TEST_CASE("a path matches the route of its host with the longest prefix") {
   const RouteTable table = sample();
   REQUIRE(table.match("a.example", "/x/y/z") != nullptr);
   CHECK(table.match("a.example", "/x/y/z")->name == "inner");
@@ -36,7 +36,7 @@
   CHECK(table.match("b.example", "/x/q") == nullptr);
 }
 
-TEST_CASE("only repeatable requests and resumable streams may run twice") {
+TEST_CASE("only repeatable requests and resumable streams may run more than once") {
   Route route;
   route.kind = RouteKind::unrepeatable;
   CHECK_FALSE(route.may_repeat());
@@ -48,7 +48,7 @@
   CHECK(route.may_repeat());
 }
 
-TEST_CASE("a route table survives its JSON form") {
+TEST_CASE("a route table is unchanged after formatting and parsing") {
   const auto parsed = parse_route_table(format_route_table(sample()));
   REQUIRE(succeeded(parsed));
   const RouteTable& table = value_of(parsed);
@@ -60,7 +60,7 @@
   CHECK(table.limits.max_body_bytes == 1234);
 }
 
-TEST_CASE("a route table that cannot be read is a typed error") {
+TEST_CASE("parsing an invalid route table returns invalid_argument") {
   for (const char* text : {"", "[]", "{}", R"({"routes":[{"name":"r"}],"pools":[],"limits":{}})",
                            R"({"routes":[],"pools":[],"limits":7})"}) {
     const auto parsed = parse_route_table(text);
--- a/tests/gateway/group_status_test.cpp
+++ b/tests/gateway/group_status_test.cpp
@@ -1,4 +1,4 @@
-/// The replica groups in a node's status.
+/// @file Tests the description of replica groups in a node's status.
 #include <catch2/catch.hpp>
 
 #include "gateway/group_status.hpp"
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("the status of a group without a majority names its disks that are gone for good, each with its reason") {
+TEST_CASE("the status of a group without a majority lists its permanently gone disks, each with its reason") {
   fixture node;
   CHECK(node.shown().at("majority").as_bool());
   CHECK(node.shown().at("gone_for_good").as_array().empty());
--- a/tests/gateway/problem_test.cpp
+++ b/tests/gateway/problem_test.cpp
@@ -5,7 +5,7 @@
 using namespace madderdeck;
 using namespace madderdeck::gateway;
 
-TEST_CASE("a refusal says what is known and when to come back") {
+TEST_CASE("a problem document of a refusal states whether the request ran and when to retry") {
   const auto response = problem(routing::Refusal{{ErrorKind::unavailable, "busy"}, routing::Ran::no, 1200ms});
   CHECK(response.status == 503);
   CHECK(response.content_type == "application/problem+json");
