--- a/src/forwarding/engine_choice.cpp
+++ b/src/forwarding/engine_choice.cpp
@@ -9,9 +9,9 @@
 
 using routing::Backend;
 
-constexpr Duration kReportFresh = 4s;
-constexpr Duration kSilence = 500ms;
-constexpr Duration kExcessHolds = 1s;
+constexpr Duration kReportMaxAge = 4s;
+constexpr Duration kUnresponsiveAfter = 500ms;
+constexpr Duration kUnattributedMaxAge = 1s;
 /// A back end is chosen by affinity while its load is at most this part of its slots above the average load.
 constexpr double kAffinitySlack = 0.25;
 constexpr double kMaxSlowness = 8.0;
@@ -22,7 +22,7 @@
 
 /// @return expected cost of one more live call: below 1 a slot is free; from 1 to below 2 a batch call has to free its
 ///         slot; from 2 on the call waits for another live call to end.
-double cost_of(const known_calls& calls) {
+double live_call_cost(const known_calls& calls) {
   const double live = (calls.live + 1) / calls.slots;
   if (calls.live + calls.batch < calls.slots) {
     return (calls.live + calls.batch + 1) / calls.slots;
@@ -32,7 +32,7 @@
 
 double load(const Backend& backend, const ChoiceInput& input) {
   if (uses_shared(input)) {
-    return cost_of(calls_at(backend, *input.shared, input.now));
+    return live_call_cost(calls_at(backend, *input.shared, input.now));
   }
   return (estimated_requests(backend, input.now, input.sharing) + 1) / backend.machine.slots;
 }
@@ -47,7 +47,7 @@
   return (calls.live + 1) / calls.slots;
 }
 
-Backend* affine_backend(const std::vector<Backend*>& candidates, const ChoiceInput& input, double median) {
+Backend* backend_by_affinity(const std::vector<Backend*>& candidates, const ChoiceInput& input, double median) {
   double total = 0;
   for (const Backend* candidate : candidates) {
     total += affinity_load(*candidate, input);
@@ -109,14 +109,14 @@
 
 known_calls calls_at(const Backend& backend, const routing::shared_calls& shared, Timestamp now) {
   const routing::open_calls others = shared.at(backend.machine.id);
-  const std::uint32_t unexplained = now - backend.reported_at < kExcessHolds ? backend.unexplained : 0;
+  const std::uint32_t unexplained = now - backend.reported_at < kUnattributedMaxAge ? backend.unexplained : 0;
   return {static_cast<double>(backend.online_in_flight + others.live + unexplained),
           static_cast<double>(backend.batch_in_flight + others.batch), static_cast<double>(backend.machine.slots)};
 }
 
 double estimated_requests(const Backend& backend, Timestamp now, double sharing) {
   const double own = backend.online_in_flight;
-  const bool fresh = backend.reported_at.count() != 0 && now - backend.reported_at < kReportFresh;
+  const bool fresh = backend.reported_at.count() != 0 && now - backend.reported_at < kReportMaxAge;
   if (!fresh) {
     return own * sharing;
   }
@@ -126,7 +126,7 @@
 }
 
 bool silent(const Backend& backend, Timestamp now) {
-  return backend.open_calls > 0 && now - backend.quiet_since > kSilence;
+  return backend.open_calls > 0 && now - backend.quiet_since > kUnresponsiveAfter;
 }
 
 Backend& preferred_backend(const std::vector<Backend*>& candidates, std::string_view key) {
@@ -150,7 +150,7 @@
   }
   const double median = median_latency(candidates);
   if (!input.affinity_key.empty()) {
-    if (Backend* affine = affine_backend(candidates, input, median)) {
+    if (Backend* affine = backend_by_affinity(candidates, input, median)) {
       return *affine;
     }
   }
--- a/src/forwarding/engine_choice.hpp
+++ b/src/forwarding/engine_choice.hpp
@@ -16,9 +16,8 @@
   std::string_view affinity_key;  ///< Shared by requests with the same prompt prefix; empty: no back end is preferred.
   Timestamp now{};
   std::uint64_t random = 0;
-  double sharing = 1;  ///< Average number of gateways that use the same back end.
-  const routing::shared_calls* shared =
-      nullptr;  ///< Open calls of the other nodes; null where nodes send no call reports.
+  double sharing = 1;                             ///< Average number of gateways that use the same back end.
+  const routing::shared_calls* shared = nullptr;  ///< Open calls of the other nodes; null without call reports.
   /// An engine that is more than this many times as slow as the median is not chosen by affinity.
   double affinity_slowness = 1;
   std::size_t samples = 4;  ///< Number of random candidates to compare; fewer where call reports arrive late.
--- a/src/forwarding/forwarder.cpp
+++ b/src/forwarding/forwarder.cpp
@@ -14,20 +14,20 @@
 
 constexpr std::uint32_t kMaxSends =
     6;  ///< Sends of one request, including those that a back end refused without running it.
-constexpr Duration kComebackBusy = 300ms;
-constexpr Duration kComebackOutage = 500ms;
-constexpr Duration kLeastTimeLeft = 5ms;
+constexpr Duration kRetryAfterBusy = 300ms;
+constexpr Duration kRetryAfterOutage = 500ms;
+constexpr Duration kMinTimeLeft = 5ms;
 constexpr unsigned kFirstServerError = 500;
 constexpr unsigned kRetryPercent = 20;
-constexpr Duration kLeastFirstByteWait = 400ms;
-constexpr Duration kLeastReading = 30ms;
-constexpr Duration kMostReading = 1s;
-constexpr int kReadingSmoothing = 8;
-constexpr int kYieldSmoothing = 8;
-constexpr std::size_t kLeastSamples = 4;
-constexpr std::size_t kMostEventBytes = 1024 * 1024;  ///< Of an incomplete event; a stream with more is malformed.
+constexpr Duration kMinFirstByteTimeout = 400ms;
+constexpr Duration kMinPrefillTime = 30ms;
+constexpr Duration kMaxPrefillTime = 1s;
+constexpr int kCallTimeSmoothing = 8;
+constexpr int kFirstByteSmoothing = 8;
+constexpr std::size_t kMinSamples = 4;
+constexpr std::size_t kMaxEventBytes = 1024 * 1024;  ///< Of an incomplete event; a stream with more is malformed.
 /// Call reports that are at most this late count as exact: all engines are compared.
-constexpr Duration kExactDelay = 25ms;
+constexpr Duration kExactReportDelay = 25ms;
 
 }  // namespace
 
@@ -85,7 +85,7 @@
   return best->pool;
 }
 
-std::vector<Backend*> Forwarder::choices(const Active& active) {
+std::vector<Backend*> Forwarder::untried_backends(const Active& active) {
   std::vector<Backend*> found = registry_.candidates(active.pool);
   std::vector<Backend*> untried;
   for (Backend* backend : found) {
@@ -96,7 +96,7 @@
   return untried;
 }
 
-std::vector<Backend*> Forwarder::warming_choice(const Active& active) {
+std::vector<Backend*> Forwarder::untried_warming_backend(const Active& active) {
   for (Backend* backend : registry_.warming(active.pool)) {
     if (!active.tried.contains(backend->machine.id) && allow_warming_ && allow_warming_(*backend)) {
       return {backend};
@@ -126,7 +126,7 @@
   return *active.fingerprint;
 }
 
-bool Forwarder::end_if_held_back(ForwardId id) {
+bool Forwarder::refuse_if_quarantined(ForwardId id) {
   if (repeats_ == nullptr || !repeats_->remembers_any()) {
     return false;
   }
@@ -161,14 +161,14 @@
 }
 
 void Forwarder::attempt(ForwardId id) {
-  if (wait_if_undecided(id) || end_if_held_back(id)) {
+  if (wait_if_undecided(id) || refuse_if_quarantined(id)) {
     return;
   }
   Active& active = requests_.at(id);
-  std::vector<Backend*> open = choices(active);
+  std::vector<Backend*> open = untried_backends(active);
   const bool placed = placer_ != nullptr && placer_->active();
   if (open.empty() && !placed) {
-    open = warming_choice(active);
+    open = untried_warming_backend(active);
   }
   // While a placer is active, only the placer chooses back ends that warm up.
   if (open.empty() && (!placed || registry_.warming(active.pool).empty())) {
@@ -183,31 +183,32 @@
     placer_->note_request(!key.empty());
   }
   if (placer_ != nullptr && placer_->active()) {
-    ask_for_place(id, open, key);
+    query_placer(id, open, key);
     return;
   }
   Backend& backend = choose(active, open, key);
   if (!key.empty()) {
-    announce_reading(backend);
+    announce_prefill(backend);
   }
   send_to(id, backend, open);
 }
 
-void Forwarder::ask_for_place(ForwardId id, const std::vector<Backend*>& open, const std::string& key) {
+void Forwarder::query_placer(ForwardId id, const std::vector<Backend*>& open, const std::string& key) {
   Active& active = requests_.at(id);
-  const std::uint64_t placing = ++next_placing_;
-  active.placing = placing;
-  const auto ticket = placer_->place(
-      query_for(active, open, key),
-      lifetime_.guard([this, id, placing](const place_outcome& outcome) { on_placed(id, placing, outcome); }));
+  const std::uint64_t placer_query = ++next_placer_query_;
+  active.placer_query = placer_query;
+  const auto ticket = placer_->place(make_placer_query(active, open, key),
+                                     lifetime_.guard([this, id, placer_query](const place_outcome& outcome) {
+                                       on_placer_reply(id, placer_query, outcome);
+                                     }));
   const auto entry = requests_.find(id);
-  if (entry != requests_.end() && entry->second.placing == placing) {
+  if (entry != requests_.end() && entry->second.placer_query == placer_query) {
     entry->second.ticket = ticket;
   }
 }
 
-place_query Forwarder::query_for(const Active& active, const std::vector<Backend*>& open,
-                                 const std::string& key) const {
+place_query Forwarder::make_placer_query(const Active& active, const std::vector<Backend*>& open,
+                                         const std::string& key) const {
   const Timestamp now = environment_.now();
   place_query query;
   query.request = active.request->id;
@@ -216,10 +217,10 @@
   if (!key.empty()) {
     query.affinity_key = key;
     query.first = open.empty() ? std::optional<BackendId>() : preferred_backend(open, key).machine.id;
-    query.reading = std::clamp(long_prompt_time_ - kept_start_time_, kLeastReading, kMostReading);
+    query.reading = std::clamp(prefill_time_ - cached_prefill_time_, kMinPrefillTime, kMaxPrefillTime);
   }
-  const auto held = call_time_.find(active.pool);
-  query.holding = held == call_time_.end() ? Duration::zero() : held->second;
+  const auto held = average_call_time_.find(active.pool);
+  query.holding = held == average_call_time_.end() ? Duration::zero() : held->second;
   query.patience = active.give_up_at - now;
   if (active.route->silence_ms > 0) {
     const Timestamp given_up_at = active.started + std::chrono::milliseconds(active.route->silence_ms);
@@ -227,19 +228,19 @@
   }
   query.due = active.route->target_ms == 0 ? query.patience
                                            : active.started + std::chrono::milliseconds(active.route->target_ms) - now;
-  query.due -= key.empty() ? first_byte_time_ : long_prompt_time_;
+  query.due -= key.empty() ? average_first_byte_time_ : prefill_time_;
   query.rank = {active.request->tenant_priority, active.route->priority};
   return query;
 }
 
-void Forwarder::on_placed(ForwardId id, std::uint64_t placing, const place_outcome& outcome) {
+void Forwarder::on_placer_reply(ForwardId id, std::uint64_t placer_query, const place_outcome& outcome) {
   const auto entry = requests_.find(id);
-  if (entry == requests_.end() || entry->second.placing != placing) {
+  if (entry == requests_.end() || entry->second.placer_query != placer_query) {
     counters_["forward_places_unused_total"]++;
     return;
   }
   Active& active = entry->second;
-  active.placing = 0;
+  active.placer_query = 0;
   if (outcome.retry_after) {
     counters_["forward_refused_full_total"]++;
     active.retry_after = outcome.retry_after;
@@ -247,7 +248,7 @@
     return;
   }
   const std::optional<place_answer>& answer = outcome.place;
-  const std::vector<Backend*> open = choices(active);
+  const std::vector<Backend*> open = untried_backends(active);
   if (Backend* named = answer ? named_backend(active, open, answer->engine) : nullptr) {
     active.awaits_yield = answer->needs_yield;
     active.keeps_start = answer->keeps_start;
@@ -266,7 +267,7 @@
 
 void Forwarder::send_to(ForwardId id, Backend& backend, const std::vector<Backend*>& open) {
   // While the request waited for its engine, it or a concurrent request may have been found to terminate back ends.
-  if (wait_if_undecided(id) || end_if_held_back(id)) {
+  if (wait_if_undecided(id) || refuse_if_quarantined(id)) {
     return;
   }
   Active& active = requests_.at(id);
@@ -303,8 +304,8 @@
   input.shared = shared_;
   if (shared_ != nullptr) {
     const auto all = static_cast<std::int64_t>(open.size());
-    const std::int64_t fresh = all * kExactDelay.count() / std::max(kExactDelay, shared_delay_).count();
-    input.samples = std::max(kLeastSamples, static_cast<std::size_t>(fresh));
+    const std::int64_t fresh = all * kExactReportDelay.count() / std::max(kExactReportDelay, shared_delay_).count();
+    input.samples = std::max(kMinSamples, static_cast<std::size_t>(fresh));
   }
   return choose_backend(input);
 }
@@ -319,17 +320,17 @@
   active.attempt = ++next_attempt_;
   active.sent_at = environment_.now();
   active.head_seen = false;
-  active.heard = false;
+  active.has_first_byte = false;
   active.body.clear();
   active.answer.begin({});
   ++active.sends;
   ++backend.online_in_flight;
-  active.life = registry_.on_sent(active.backend);
+  active.incarnation = registry_.on_sent(active.backend);
   on_activity_(active.backend, backend.online_in_flight);
   UpstreamCall call;
   call.backend = active.backend;
   call.request = active.request;
-  call.time_left = std::max(active.give_up_at - active.sent_at, Duration(kLeastTimeLeft));
+  call.time_left = std::max(active.give_up_at - active.sent_at, Duration(kMinTimeLeft));
   call.resume_after = active.last_event;
   call.may_repeat = active.route->may_repeat();
   const std::uint64_t attempt = active.attempt;
@@ -339,36 +340,37 @@
   events.finished = lifetime_.guard([this, id, attempt] { on_finished(id, attempt); });
   events.failed = lifetime_.guard([this, id, attempt](send_failure failure) { on_failed(id, attempt, failure); });
   active.call = upstream_.start(std::move(call), std::move(events));
-  watch_first_byte(id);
+  start_first_byte_timeout(id);
 }
 
 /// Lets other gateways avoid @p backend until it has likely finished the prefill of the prompt.
-void Forwarder::announce_reading(Backend& backend) {
-  const Duration expected = std::clamp(long_prompt_time_, kLeastReading, kMostReading);
+void Forwarder::announce_prefill(Backend& backend) {
+  const Duration expected = std::clamp(prefill_time_, kMinPrefillTime, kMaxPrefillTime);
   const Timestamp until = environment_.now() + expected;
   backend.reading_until = std::max(backend.reading_until, until);
-  if (on_reading_) {
-    on_reading_(backend.machine.id, expected);
+  if (on_prefill_) {
+    on_prefill_(backend.machine.id, expected);
   }
 }
 
 /// An unresponsive back end reports no failure. A repeatable request is therefore sent to another one after a timeout.
-void Forwarder::watch_first_byte(ForwardId id) {
+void Forwarder::start_first_byte_timeout(ForwardId id) {
   const Active& active = requests_.at(id);
   if (!active.route->may_repeat() || active.runs + 1 >= active.route->max_attempts) {
     return;
   }
-  const Duration patience = std::max<Duration>(kLeastFirstByteWait, std::chrono::milliseconds(active.route->target_ms));
+  const Duration patience =
+      std::max<Duration>(kMinFirstByteTimeout, std::chrono::milliseconds(active.route->target_ms));
   const std::uint64_t attempt = active.attempt;
   environment_.after(patience, lifetime_.guard([this, id, attempt] {
-    if (!is_current(id, attempt) || requests_.at(id).heard) {
+    if (!is_current(id, attempt) || requests_.at(id).has_first_byte) {
       return;
     }
     const Active& waiting = requests_.at(id);
     const Backend* backend = registry_.find(waiting.backend);
     // A back end that answers other calls is only slow or full: the request stays there.
-    const bool dark = backend == nullptr || silent(*backend, environment_.now());
-    if (dark && !choices(waiting).empty()) {
+    const bool unresponsive = backend == nullptr || silent(*backend, environment_.now());
+    if (unresponsive && !untried_backends(waiting).empty()) {
       counters_["forward_first_byte_timeouts_total"]++;
       upstream_.cancel(waiting.call);
       on_failed(id, attempt, {CallFailure::timed_out, answer_end::silent});
@@ -381,13 +383,13 @@
   return entry != requests_.end() && entry->second.attempt == attempt;
 }
 
-void Forwarder::heard(Active& active) {
+void Forwarder::on_data_received(Active& active) {
   registry_.on_heard(active.backend);
-  if (active.heard) {
+  if (active.has_first_byte) {
     return;
   }
-  active.heard = true;
-  active.heard_at = environment_.now();
+  active.has_first_byte = true;
+  active.first_byte_at = environment_.now();
   const Duration elapsed = environment_.now() - active.sent_at;
   if (active.request->prompt.empty() || affinity_key(active.request->prompt).empty()) {
     const double milliseconds = std::chrono::duration<double, std::milli>(elapsed).count();
@@ -395,33 +397,33 @@
     if (registry_.on_latency) {
       registry_.on_latency(active.backend, milliseconds);
     }
-    learn_first_byte(active, elapsed);
+    update_first_byte_time(active, elapsed);
   } else {
-    learn_long_prompt(active, elapsed);
+    update_prefill_time(active, elapsed);
   }
 }
 
-void Forwarder::learn_long_prompt(const Active& active, Duration elapsed) {
-  Duration& average = active.keeps_start ? kept_start_time_ : long_prompt_time_;
-  average += (elapsed - average) / kReadingSmoothing;
+void Forwarder::update_prefill_time(const Active& active, Duration elapsed) {
+  Duration& average = active.keeps_start ? cached_prefill_time_ : prefill_time_;
+  average += (elapsed - average) / kCallTimeSmoothing;
 }
 
-void Forwarder::learn_call_time(const Active& active) {
+void Forwarder::update_call_time(const Active& active) {
   const Duration took = environment_.now() - active.sent_at;
-  Duration& average = call_time_.try_emplace(active.pool, took).first->second;
-  average += (took - average) / kReadingSmoothing;
+  Duration& average = average_call_time_.try_emplace(active.pool, took).first->second;
+  average += (took - average) / kCallTimeSmoothing;
 }
 
-void Forwarder::learn_first_byte(const Active& active, Duration elapsed) {
+void Forwarder::update_first_byte_time(const Active& active, Duration elapsed) {
   if (active.route->kind != RouteKind::stream) {
     return;
   }
   if (!active.awaits_yield) {
-    first_byte_time_ += (elapsed - first_byte_time_) / kYieldSmoothing;
+    average_first_byte_time_ += (elapsed - average_first_byte_time_) / kFirstByteSmoothing;
     return;
   }
-  const Duration waited = std::max(Duration::zero(), elapsed - first_byte_time_);
-  time_to_yield_ += (waited - time_to_yield_) / kYieldSmoothing;
+  const Duration waited = std::max(Duration::zero(), elapsed - average_first_byte_time_);
+  time_to_yield_ += (waited - time_to_yield_) / kFirstByteSmoothing;
   observe(counters_, "time_to_yield", waited);
 }
 
@@ -431,11 +433,11 @@
     return;
   }
   Active& active = requests_.at(id);
-  heard(active);
+  on_data_received(active);
   active.head_seen = true;
   active.answer.begin(head);
   // A stream that is resumed on another back end keeps its first head.
-  if (!active.head_passed) {
+  if (!active.head_forwarded) {
     active.head = std::move(head);
   } else if (!head.event_stream || head.status >= 300) {
     upstream_.cancel(active.call);
@@ -445,10 +447,10 @@
   }
 }
 
-void Forwarder::pass_head(Active& active) {
-  if (!active.head_passed) {
-    active.head_passed = true;
-    active.first_at = environment_.now();
+void Forwarder::forward_head(Active& active) {
+  if (!active.head_forwarded) {
+    active.head_forwarded = true;
+    active.first_sent_at = environment_.now();
     active.events.head(active.head, std::nullopt);
   }
 }
@@ -459,54 +461,54 @@
     return;
   }
   Active& active = requests_.at(id);
-  heard(active);
+  on_data_received(active);
   if (!active.head.event_stream) {
     active.answer.read(piece, {});
     active.body.append(piece);
   } else if (guards_.whole_events_only) {
-    pass_events(id, attempt, piece);
+    forward_events(id, attempt, piece);
   } else {
-    active.answer.read(piece, [&active](const StreamEvent&) { ++active.passed_events; });
-    pass_piece(active, piece);
+    active.answer.read(piece, [&active](const StreamEvent&) { ++active.forwarded_events; });
+    forward_piece(active, piece);
   }
 }
 
-void Forwarder::pass_piece(Active& active, std::string_view piece) {
-  pass_head(active);
-  active.passed_bytes += piece.size();
+void Forwarder::forward_piece(Active& active, std::string_view piece) {
+  forward_head(active);
+  active.forwarded_bytes += piece.size();
   active.events.piece(piece);
 }
 
-Forwarder::event_place Forwarder::place_of(const Active& active, const StreamEvent& event) const {
+Forwarder::event_position Forwarder::position_of(const Active& active, const StreamEvent& event) const {
   if (!active.route->resumable || event.number == 0 || !guards_.keep_event_order) {
-    return event_place::next;
+    return event_position::next;
   }
   if (event.number <= active.last_event) {
-    return event_place::repeated;
+    return event_position::repeated;
   }
-  return event.number == active.last_event + 1 ? event_place::next : event_place::too_early;
+  return event.number == active.last_event + 1 ? event_position::next : event_position::too_early;
 }
 
-void Forwarder::pass_events(ForwardId id, std::uint64_t attempt, std::string_view piece) {
+void Forwarder::forward_events(ForwardId id, std::uint64_t attempt, std::string_view piece) {
   Active& active = requests_.at(id);
   std::string passed;
   bool gap = false;
   active.answer.read(piece, [&](const StreamEvent& event) {
-    const event_place place = place_of(active, event);
-    if (gap || place == event_place::repeated) {
+    const event_position place = position_of(active, event);
+    if (gap || place == event_position::repeated) {
       counters_["forward_events_repeated_total"]++;
       return;
     }
-    if (place == event_place::too_early) {
+    if (place == event_position::too_early) {
       gap = true;
       return;
     }
     active.last_event = active.route->resumable && event.number != 0 ? event.number : active.last_event;
     passed.append(event.bytes);
-    ++active.passed_events;
+    ++active.forwarded_events;
   });
   if (!passed.empty()) {
-    pass_piece(active, passed);
+    forward_piece(active, passed);
   }
   if (!is_current(id, attempt)) {
     return;
@@ -514,7 +516,7 @@
   if (gap) {
     counters_["forward_event_gaps_total"]++;
     break_off(id, attempt, answer_end::out_of_order);
-  } else if (active.answer.unfinished().size() > kMostEventBytes) {
+  } else if (active.answer.unfinished().size() > kMaxEventBytes) {
     counters_["forward_events_too_long_total"]++;
     break_off(id, attempt, answer_end::malformed);
   }
@@ -540,7 +542,7 @@
   if (failed) {
     registry_.on_failure_answer(active.backend);
   }
-  if (failed && !active.head_passed && may_send_again(active)) {
+  if (failed && !active.head_forwarded && may_send_again(active)) {
     on_failed(id, attempt, {CallFailure::failed_run, answer_end::whole});
     return;
   }
@@ -550,9 +552,9 @@
 void Forwarder::complete(ForwardId id) {
   auto node = requests_.extract(id);
   Active& active = node.mapped();
-  leave_backend(active);
+  release_backend(active);
   registry_.on_success(active.backend);
-  learn_call_time(active);
+  update_call_time(active);
   if (repeats_ != nullptr && repeats_->remembers_any() && active.head.status < kFirstServerError) {
     repeats_->call_answered(fingerprint_of(active));
   }
@@ -560,25 +562,25 @@
   const answer_end end = active.answer.end();
   count_end(end);
   if (!active.head.event_stream) {
-    active.passed_bytes = active.body.size();
+    active.forwarded_bytes = active.body.size();
   }
-  const Timestamp first_at = active.head_passed ? active.first_at : environment_.now();
+  const Timestamp first_sent_at = active.head_forwarded ? active.first_sent_at : environment_.now();
   log_.record("request_answered", {{"request", active.request->id},
                                    {"backend", active.backend.str()},
                                    {"status", active.head.status},
                                    {"sends", active.sends},
                                    {"framing", net::body_framing_name(active.answer.framing())},
                                    {"end", answer_end_name(end)},
-                                   {"events", active.passed_events},
-                                   {"bytes", active.passed_bytes},
+                                   {"events", active.forwarded_events},
+                                   {"bytes", active.forwarded_bytes},
                                    {"unfinished_bytes", active.answer.unfinished().size()},
-                                   {"first_ms", (first_at - active.started) / 1ms},
+                                   {"first_ms", (first_sent_at - active.started) / 1ms},
                                    {"took_ms", (environment_.now() - active.started) / 1ms}});
-  if (!active.head_passed && !active.head.event_stream) {
+  if (!active.head_forwarded && !active.head.event_stream) {
     active.events.head(active.head, std::move(active.body));
     return;
   }
-  pass_head(active);
+  forward_head(active);
   if (!active.answer.unfinished().empty() && guards_.whole_events_only) {
     active.events.piece(active.answer.unfinished());  // empty lines after the last event
   }
@@ -589,7 +591,7 @@
   counters_["answers_ended_" + std::string(answer_end_name(end)) + "_total"]++;
 }
 
-void Forwarder::note_broken_off(const Active& active, answer_end end) {
+void Forwarder::record_broken_off(const Active& active, answer_end end) {
   if (!active.head_seen) {
     return;
   }
@@ -599,17 +601,17 @@
                                     {"status", active.head.status},
                                     {"framing", net::body_framing_name(active.answer.framing())},
                                     {"end", answer_end_name(end)},
-                                    {"events", active.passed_events},
-                                    {"bytes", active.passed_bytes},
+                                    {"events", active.forwarded_events},
+                                    {"bytes", active.forwarded_bytes},
                                     {"unfinished_bytes", active.answer.unfinished().size()},
-                                    {"begun", active.head_passed},
+                                    {"begun", active.head_forwarded},
                                     {"after_ms", (environment_.now() - active.sent_at) / 1ms}});
 }
 
 bool Forwarder::may_send_again(const Active& active) const {
-  const bool harmless = active.route->may_repeat() || !guards_.once_unless_repeatable;
+  const bool harmless = active.route->may_repeat() || !guards_.repeat_only_if_allowed;
   return harmless && active.runs + 1 < active.route->max_attempts && active.sends < kMaxSends &&
-         environment_.now() + kLeastTimeLeft < active.give_up_at;
+         environment_.now() + kMinTimeLeft < active.give_up_at;
 }
 
 void Forwarder::on_failed(ForwardId id, std::uint64_t attempt, send_failure failed) {
@@ -619,12 +621,12 @@
   }
   const CallFailure failure = failed.reason;
   Active& active = requests_.at(id);
-  leave_backend(active);
-  if (registry_.lives_on(active.backend, active.life)) {
+  release_backend(active);
+  if (registry_.lives_on(active.backend, active.incarnation)) {
     registry_.on_failure(active.backend, failure);
   }
   active.attempt = 0;
-  note_broken_off(active, failed.end);
+  record_broken_off(active, failed.end);
   log_.record("send_failed", {{"request", active.request->id},
                               {"backend", active.backend.str()},
                               {"failure", routing::failure_name(failure)},
@@ -635,7 +637,7 @@
     retry_or_end(id, failure);
     return;
   }
-  const Duration answered_for = active.heard ? environment_.now() - active.heard_at : Duration::zero();
+  const Duration answered_for = active.has_first_byte ? environment_.now() - active.first_byte_at : Duration::zero();
   active.breaks.report(*repeats_, {fingerprint_of(active), active.request->id, active.backend, answered_for},
                        lifetime_.guard([this, id, failure] {
                          if (requests_.contains(id)) {
@@ -647,7 +649,7 @@
 void Forwarder::retry_or_end(ForwardId id, CallFailure failure) {
   Active& active = requests_.at(id);
   const bool not_run = certainly_not_run(failure);
-  const bool in_time = environment_.now() + kLeastTimeLeft < active.give_up_at;
+  const bool in_time = environment_.now() + kMinTimeLeft < active.give_up_at;
   if (not_run && active.sends < kMaxSends && in_time) {
     counters_["forward_moved_on_total"]++;
     attempt(id);
@@ -656,7 +658,7 @@
   const bool again = !not_run && may_send_again(active) && active.breaks.may_run_again();
   active.runs += not_run ? 0 : 1;
   if (again && budget_.try_spend()) {
-    counters_[active.head_passed ? "forward_resumed_total" : "forward_retried_total"]++;
+    counters_[active.head_forwarded ? "forward_resumed_total" : "forward_retried_total"]++;
     attempt(id);
     return;
   }
@@ -664,11 +666,11 @@
   end_unanswered(id, not_run ? ErrorKind::unavailable : ErrorKind::upstream_failed, "the back end failed");
 }
 
-Duration Forwarder::comeback_time(const Active& active) const {
+Duration Forwarder::retry_delay(const Active& active) const {
   if (active.retry_after) {
     return *active.retry_after;
   }
-  return active.tried.empty() ? kComebackOutage : kComebackBusy;
+  return active.tried.empty() ? kRetryAfterOutage : kRetryAfterBusy;
 }
 
 /// Ends a request without a complete answer and informs the caller at once.
@@ -681,10 +683,10 @@
                                    {"route", active.route->name},
                                    {"reason", error_kind_name(kind)},
                                    {"may_have_run", may_have_run},
-                                   {"begun", active.head_passed},
+                                   {"begun", active.head_forwarded},
                                    {"sends", active.sends},
                                    {"took_ms", (environment_.now() - active.started) / 1ms}});
-  if (active.head_passed) {
+  if (active.head_forwarded) {
     active.events.broken();
     return;
   }
@@ -692,8 +694,9 @@
     kind = ErrorKind::upstream_failed;
   }
   const Ran ran = may_have_run ? Ran::unknown : Ran::no;
-  const bool in_vain = may_have_run || kind == ErrorKind::quarantined;
-  active.events.refused(routing::Refusal{Error{kind, detail}, ran, in_vain ? Duration::zero() : comeback_time(active)});
+  const bool retry_is_futile = may_have_run || kind == ErrorKind::quarantined;
+  active.events.refused(
+      routing::Refusal{Error{kind, detail}, ran, retry_is_futile ? Duration::zero() : retry_delay(active)});
 }
 
 void Forwarder::on_give_up(ForwardId id) {
@@ -702,16 +705,16 @@
     return;
   }
   Active& active = entry->second;
-  if (active.placing != 0) {
+  if (active.placer_query != 0) {
     counters_["forward_timeouts_total"]++;
     placer_->withdraw(active.ticket);
     end_unanswered(id, ErrorKind::deadline_exceeded, "no engine was assigned before the deadline");
     return;
   }
   upstream_.cancel(active.call);
-  leave_backend(active);
-  note_broken_off(active, answer_end::given_up);
-  if (!active.heard && registry_.lives_on(active.backend, active.life)) {
+  release_backend(active);
+  record_broken_off(active, answer_end::given_up);
+  if (!active.has_first_byte && registry_.lives_on(active.backend, active.incarnation)) {
     registry_.on_failure(active.backend, CallFailure::timed_out);
   }
   ++active.runs;
@@ -725,16 +728,16 @@
     return;
   }
   Active& active = entry->second;
-  if (active.placing != 0) {
+  if (active.placer_query != 0) {
     placer_->withdraw(active.ticket);
   }
   upstream_.cancel(active.call);
-  leave_backend(active);
-  note_broken_off(active, answer_end::caller_gone);
+  release_backend(active);
+  record_broken_off(active, answer_end::caller_gone);
   counters_["forward_cancelled_total"]++;
   log_.record("request_cancelled", {{"request", active.request->id},
                                     {"backend", active.backend.str()},
-                                    {"begun", active.head_passed},
+                                    {"begun", active.head_forwarded},
                                     {"took_ms", (environment_.now() - active.started) / 1ms}});
   requests_.erase(entry);
 }
@@ -751,14 +754,14 @@
   }
 }
 
-void Forwarder::leave_backend(Active& active) {
+void Forwarder::release_backend(Active& active) {
   if (active.attempt == 0) {
     return;
   }
-  registry_.on_ended(active.backend, active.life);
+  registry_.on_ended(active.backend, active.incarnation);
   Backend* backend = registry_.find(active.backend);
   // A restarted back end has no calls of its previous incarnation.
-  if (backend != nullptr && backend->life == active.life && backend->online_in_flight > 0) {
+  if (backend != nullptr && backend->life == active.incarnation && backend->online_in_flight > 0) {
     on_activity_(active.backend, --backend->online_in_flight);
   }
 }
--- a/src/forwarding/forwarder.hpp
+++ b/src/forwarding/forwarder.hpp
@@ -35,17 +35,15 @@
 
 using ForwardId = std::uint64_t;
 /// Called when a back end is sent a long prompt. @c expected is the expected duration of its prefill.
-using ReadingHook = std::function<void(const BackendId&, Duration expected)>;
+using PrefillHook = std::function<void(const BackendId&, Duration expected)>;
 using BackendActivityHook = std::function<void(const BackendId&, std::uint32_t in_flight)>;
 
 /// Rules of forwarding that the simulation can switch off; always on in the daemon.
 struct ForwardGuards {
-  bool once_unless_repeatable = true;  ///< A request that may have run is sent again only if its route allows that.
-  bool whole_events_only =
-      true;                ///< Only complete events of a stream are forwarded, so that it ends between two events.
-  bool judge_ends = true;  ///< An answer whose bytes have ended is complete only if its answer_reader says so.
-  bool keep_event_order =
-      true;  ///< Events of a resumable stream that are repeated or come too early are not forwarded.
+  bool repeat_only_if_allowed = true;  ///< A request that may have run is sent again only if its route allows that.
+  bool whole_events_only = true;       ///< Only complete events of a stream are forwarded.
+  bool judge_ends = true;              ///< An answer is complete only if its answer_reader says so.
+  bool keep_event_order = true;        ///< Repeated or early events of a resumable stream are not forwarded.
 };
 
 /// All forwarded requests of one node. Single threaded.
@@ -61,7 +59,7 @@
   void pause(ForwardId id);
   void resume(ForwardId id);
   std::size_t active() const { return requests_.size(); }
-  void on_reading(ReadingHook hook) { on_reading_ = std::move(hook); }
+  void on_reading(PrefillHook hook) { on_prefill_ = std::move(hook); }
   /// From now on engines are chosen by the open calls that the other gateways report.
   /// @param delay time by which these reports are late.
   void use_shared_calls(const routing::shared_calls& calls, Duration delay) {
@@ -89,9 +87,9 @@
     Timestamp sent_at{};
     std::string pool;
     BackendId backend;
-    std::uint64_t life = 0;  ///< Incarnation of the back end when the current send went there.
+    std::uint64_t incarnation = 0;  ///< Incarnation of the back end when the current send went there.
     routing::CallId call = 0;
-    std::uint64_t placing = 0;  ///< Number of the pending query to the placer; 0: none.
+    std::uint64_t placer_query = 0;  ///< Number of the pending query to the placer; 0: none.
     engine_placer::ticket ticket = 0;
     std::optional<Duration> retry_after;  ///< Given by the placer when it rejected the request.
     bool keeps_start = false;             ///< Of the current send: the engine has likely cached the prompt prefix.
@@ -102,61 +100,62 @@
     routing::call_breaks breaks;
     std::optional<routing::request_fingerprint> fingerprint;  ///< Computed at its first use.
     bool head_seen = false;                                   ///< Of the current send.
-    bool head_passed = false;
-    Timestamp first_at{};       ///< Time at which the first part of the answer was sent to the caller.
-    bool heard = false;         ///< Of the current send: the back end has sent any byte.
-    Timestamp heard_at{};       ///< Of the current send: time of its first byte.
-    bool awaits_yield = false;  ///< Of the current send: a batch call has to free a slot of the engine.
+    bool head_forwarded = false;
+    Timestamp first_sent_at{};    ///< Time at which the first part of the answer was sent to the caller.
+    bool has_first_byte = false;  ///< Of the current send: the back end has sent any byte.
+    Timestamp first_byte_at{};    ///< Of the current send: time of its first byte.
+    bool awaits_yield = false;    ///< Of the current send: a batch call has to free a slot of the engine.
     AnswerHead head;
     std::string body;      ///< Of an answer that is forwarded only once it is complete.
     answer_reader answer;  ///< Of the current send.
     std::uint64_t last_event = 0;
-    std::uint64_t passed_events = 0;
-    std::uint64_t passed_bytes = 0;  ///< Of the body.
+    std::uint64_t forwarded_events = 0;
+    std::uint64_t forwarded_bytes = 0;  ///< Of the body.
   };
 
   void attempt(ForwardId id);
   /// Asks the placer for the engine of a request.
-  void ask_for_place(ForwardId id, const std::vector<routing::Backend*>& open, const std::string& key);
+  void query_placer(ForwardId id, const std::vector<routing::Backend*>& open, const std::string& key);
   /// @return the placer's input for the choice.
-  place_query query_for(const Active& active, const std::vector<routing::Backend*>& open, const std::string& key) const;
-  void on_placed(ForwardId id, std::uint64_t placing, const place_outcome& outcome);
+  place_query make_placer_query(const Active& active, const std::vector<routing::Backend*>& open,
+                                const std::string& key) const;
+  void on_placer_reply(ForwardId id, std::uint64_t placer_query, const place_outcome& outcome);
   /// Sends a request to @p backend, one of @p open.
   void send_to(ForwardId id, routing::Backend& backend, const std::vector<routing::Backend*>& open);
   void send(ForwardId id, routing::Backend& backend);
-  void announce_reading(routing::Backend& backend);
+  void announce_prefill(routing::Backend& backend);
   routing::Backend& choose(const Active& active, const std::vector<routing::Backend*>& open, const std::string& key);
-  void learn_call_time(const Active& active);
-  void learn_long_prompt(const Active& active, Duration elapsed);
-  void learn_first_byte(const Active& active, Duration elapsed);
-  void watch_first_byte(ForwardId id);
+  void update_call_time(const Active& active);
+  void update_prefill_time(const Active& active, Duration elapsed);
+  void update_first_byte_time(const Active& active, Duration elapsed);
+  void start_first_byte_timeout(ForwardId id);
   void on_head(ForwardId id, std::uint64_t attempt, AnswerHead head);
   void on_piece(ForwardId id, std::uint64_t attempt, std::string_view piece);
-  void pass_events(ForwardId id, std::uint64_t attempt, std::string_view piece);
+  void forward_events(ForwardId id, std::uint64_t attempt, std::string_view piece);
   /// Cancels the current send since its back end violates the protocol of event streams.
   void break_off(ForwardId id, std::uint64_t attempt, answer_end end);
-  enum class event_place { next, repeated, too_early };
+  enum class event_position { next, repeated, too_early };
   /// @return where @p event stands in a resumable stream; always next for other streams and events without a number.
-  event_place place_of(const Active& active, const StreamEvent& event) const;
+  event_position position_of(const Active& active, const StreamEvent& event) const;
   void on_finished(ForwardId id, std::uint64_t attempt);
   void on_failed(ForwardId id, std::uint64_t attempt, send_failure failure);
   void on_give_up(ForwardId id);
   void retry_or_end(ForwardId id, routing::CallFailure failure);
   void complete(ForwardId id);
-  void pass_piece(Active& active, std::string_view piece);
+  void forward_piece(Active& active, std::string_view piece);
   void count_end(answer_end end);
   /// Counts and logs that the answer of the current send will not be complete.
-  void note_broken_off(const Active& active, answer_end end);
+  void record_broken_off(const Active& active, answer_end end);
   void end_unanswered(ForwardId id, ErrorKind kind, const std::string& detail);
-  Duration comeback_time(const Active& active) const;
-  void heard(Active& active);
-  void pass_head(Active& active);
-  void leave_backend(Active& active);
+  Duration retry_delay(const Active& active) const;
+  void on_data_received(Active& active);
+  void forward_head(Active& active);
+  void release_backend(Active& active);
   bool is_current(ForwardId id, std::uint64_t attempt) const;
   const std::string& choose_pool(const Route& route);
-  std::vector<routing::Backend*> choices(const Active& active);
+  std::vector<routing::Backend*> untried_backends(const Active& active);
   /// @return one back end that warms up and that this node may send @p active to; empty where there is none.
-  std::vector<routing::Backend*> warming_choice(const Active& active);
+  std::vector<routing::Backend*> untried_warming_backend(const Active& active);
   /// @return the back end with @p id if @p active may be sent to it; null otherwise.
   routing::Backend* named_backend(const Active& active, const std::vector<routing::Backend*>& open,
                                   const BackendId& id);
@@ -166,7 +165,7 @@
   bool wait_if_undecided(ForwardId id);
   /// Refuses a quarantined request, which must not be sent to any back end.
   /// @return whether the request was refused.
-  bool end_if_held_back(ForwardId id);
+  bool refuse_if_quarantined(ForwardId id);
   static const routing::request_fingerprint& fingerprint_of(Active& active);
 
   Environment& environment_;
@@ -180,20 +179,20 @@
   std::map<ForwardId, Active> requests_;
   /// Smooth weighted round robin over a route's pools, by route name and pool.
   std::map<std::string, std::map<std::string, std::int64_t>> pool_credit_;
-  Duration long_prompt_time_ = 100ms;  ///< Moving average from sending a long prompt to its first token.
-  Duration
-      first_byte_time_{};  ///< Moving average of the time to the first byte, for short prompts where a slot is free.
+  Duration prefill_time_ = 100ms;  ///< Moving average from sending a long prompt to its first token.
+  /// Moving average of the time to the first byte, for short prompts where a slot is free.
+  Duration average_first_byte_time_{};
   Duration time_to_yield_{};
-  Duration kept_start_time_{};  ///< As long_prompt_time_, where the engine has cached the prompt prefix.
-  std::map<std::string, Duration>
-      call_time_;  ///< Moving average of the time from sending to the end of the answer, by pool.
+  Duration cached_prefill_time_{};  ///< As prefill_time_, where the engine has cached the prompt prefix.
+  /// Moving average of the time from sending to the end of the answer, by pool.
+  std::map<std::string, Duration> average_call_time_;
   const routing::shared_calls* shared_ = nullptr;
   Duration shared_delay_{};
   engine_placer* placer_ = nullptr;
   std::function<bool(const routing::Backend&)> allow_warming_;
   routing::repeat_guard* repeats_ = nullptr;
-  std::uint64_t next_placing_ = 0;
-  ReadingHook on_reading_;
+  std::uint64_t next_placer_query_ = 0;
+  PrefillHook on_prefill_;
   ForwardId next_id_ = 0;
   std::uint64_t next_attempt_ = 0;
   Lifetime lifetime_;
--- a/src/forwarding/route_table.hpp
+++ b/src/forwarding/route_table.hpp
@@ -34,18 +34,17 @@
   std::string path_prefix;
   RouteKind kind = RouteKind::repeatable;
   std::vector<WeightedPool> pools;
-  std::uint32_t timeout_ms = 0;     ///< Longest time from a request's arrival to the end of its answer.
-  std::uint32_t target_ms = 0;      ///< Time within which an answer counts as in time.
-  std::uint32_t silence_ms = 0;     ///< Callers give up a stream that brought no data for so long.
-  std::uint32_t max_attempts = 1;   ///< Number of back ends that one request may run on.
-  std::uint32_t priority = 0;       ///< 0 is the most urgent.
-  bool resumable = false;           ///< A stream may be resumed on another back end.
-  bool prefix_affinity = false;     ///< Requests with the same prompt prefix prefer the same back end.
-  bool needs_no_key = false;        ///< Callers without a key are served as well.
-  std::uint32_t run_target_ms = 0;  ///< For batch: time within which all results are due.
-  std::uint64_t max_queued_tokens =
-      0;                      ///< For batch: tokens that one tenant may have queued on all nodes together; 0: no limit.
-  std::uint32_t keep_ms = 0;  ///< For batch: time after which an item may be given up.
+  std::uint32_t timeout_ms = 0;         ///< Longest time from a request's arrival to the end of its answer.
+  std::uint32_t target_ms = 0;          ///< Time within which an answer counts as in time.
+  std::uint32_t silence_ms = 0;         ///< Callers give up a stream that brought no data for so long.
+  std::uint32_t max_attempts = 1;       ///< Number of back ends that one request may run on.
+  std::uint32_t priority = 0;           ///< 0 is the most urgent.
+  bool resumable = false;               ///< A stream may be resumed on another back end.
+  bool prefix_affinity = false;         ///< Requests with the same prompt prefix prefer the same back end.
+  bool needs_no_key = false;            ///< Callers without a key are served as well.
+  std::uint32_t run_target_ms = 0;      ///< For batch: time within which all results are due.
+  std::uint64_t max_queued_tokens = 0;  ///< For batch: limit on one tenant's queued tokens on all nodes; 0: none.
+  std::uint32_t keep_ms = 0;            ///< For batch: time after which an item may be given up.
 
   /// @return whether a request of this route may run more than once.
   bool may_repeat() const { return kind == RouteKind::repeatable || (kind == RouteKind::stream && resumable); }
--- a/src/forwarding/upstream.hpp
+++ b/src/forwarding/upstream.hpp
@@ -23,8 +23,7 @@
   unsigned status = 0;
   net::Headers headers;
   bool event_stream = false;
-  net::body_framing framing =
-      net::body_framing::length;  ///< Framing used by the back end, which may differ from that towards the caller.
+  net::body_framing framing = net::body_framing::length;  ///< Of the back end's answer; may differ towards the caller.
 };
 
 /// Callbacks of a send. Unless the send is cancelled, exactly one of finished and failed is called last.
--- a/src/gateway/batches.cpp
+++ b/src/gateway/batches.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 constexpr std::uint32_t kMaxResultPage = 1000;
-constexpr std::uint32_t kCountPage = 4000;
+constexpr std::uint32_t kRecordsPerScan = 4000;
 constexpr char kPrefix[] = "/v1/batches";
 
 const char* state_name(wire::JobState state) {
@@ -55,7 +55,7 @@
 
   void begin() {
     const auto self = shared_from_this();
-    submission_.on_room([self] { self->take_more(); });
+    submission_.on_room([self] { self->request_more_body(); });
     exchange_->on_caller_gone([self] { self->end(); });
     exchange_->read_body([self](std::string_view piece, bool last, std::function<void()> more) {
       self->on_piece(piece, last, std::move(more));
@@ -67,7 +67,7 @@
     line_.append(piece);
     std::size_t start = 0;
     for (std::size_t end = line_.find('\n'); end != std::string::npos; end = line_.find('\n', start)) {
-      if (!take_line(std::string_view(line_).substr(start, end - start))) {
+      if (!add_line(std::string_view(line_).substr(start, end - start))) {
         return;
       }
       start = end + 1;
@@ -79,16 +79,16 @@
       return;
     }
     if (last) {
-      if (take_line(line_)) {
+      if (add_line(line_)) {
         finish();
       }
       return;
     }
     more_ = std::move(more);
-    take_more();
+    request_more_body();
   }
 
-  bool take_line(std::string_view line) {
+  bool add_line(std::string_view line) {
     if (line.ends_with('\r')) {
       line.remove_suffix(1);
     }
@@ -105,7 +105,7 @@
     return true;
   }
 
-  void take_more() {
+  void request_more_body() {
     if (!more_ || submission_.congested()) {
       return;
     }
@@ -182,12 +182,12 @@
   }
 }
 
-using RecordDone = std::function<void(const wire::JobRecordT&)>;
+using OnJobRecord = std::function<void(const wire::JobRecordT&)>;
 
 /// Reads the record of a job and calls @p next with it; answers with an error if the tenant has no such job or the read
 /// fails.
 void with_job(ApiContext& context, const ExchangePointer& exchange, const std::string& tenant, const JobId& job,
-              RecordDone next) {
+              OnJobRecord next) {
   context.core.ledger.read(batch::job_key(job), [exchange, tenant, job, next](Result<ledger::OptionalValue> result) {
     if (!succeeded(result)) {
       exchange->respond(problem(routing::Refusal{error_of(result), routing::Ran::no, 1s}));
@@ -206,7 +206,7 @@
 void count_results(ApiContext& context, const ExchangePointer& exchange, const wire::JobRecordT& record,
                    const std::string& after, std::uint32_t counted, std::uint32_t failed) {
   const JobId job(record.id);
-  context.core.ledger.scan(batch::result_prefix(job), after, kCountPage,
+  context.core.ledger.scan(batch::result_prefix(job), after, kRecordsPerScan,
                            [&context, exchange, record, counted, failed](const Result<ledger::ScanPage>& result) {
                              if (!succeeded(result)) {
                                exchange->respond(problem(routing::Refusal{error_of(result), routing::Ran::no, 1s}));
@@ -282,7 +282,7 @@
     return;
   }
   context.core.ledger.scan_group(
-      group, batch::kJobPrefix, after, kCountPage,
+      group, batch::kJobPrefix, after, kRecordsPerScan,
       [&context, exchange, tenant, group, found](const Result<ledger::ScanPage>& result) {
         if (!succeeded(result)) {
           exchange->respond(problem(routing::Refusal{error_of(result), routing::Ran::no, 1s}));
--- a/src/gateway/completions.cpp
+++ b/src/gateway/completions.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 namespace json = boost::json;
-constexpr std::size_t kBacklogHigh = 256 * 1024;
+constexpr std::size_t kPauseBacklogBytes = 256 * 1024;
 
 /// A validated completion request.
 struct CompletionRequest {
@@ -138,7 +138,7 @@
     event_.append(json::serialize(json::string_view(text.data(), text.size())));
     event_.append(after_text_);
     exchange_->write(event_);
-    if (exchange_->backlog() > kBacklogHigh && !paused_) {
+    if (exchange_->backlog() > kPauseBacklogBytes && !paused_) {
       paused_ = true;
       context_.core.counters["live_streams_paused_total"]++;
       context_.core.live.pause(live_);
--- a/src/gateway/group_status.cpp
+++ b/src/gateway/group_status.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-json::array describe_gone(const ledger::group_view& seen) {
+json::array describe_gone_disks(const ledger::group_view& seen) {
   json::array gone;
   for (const ledger::gone_disk& disk : seen.gone) {
     gone.push_back(json::object{{"node", disk.identity.node.str()},
@@ -38,7 +38,7 @@
                                   {"counting", seen.counting()},
                                   {"needed", seen.needed()},
                                   {"majority", seen.has_majority()},
-                                  {"gone_for_good", describe_gone(seen)},
+                                  {"gone_for_good", describe_gone_disks(seen)},
                                   {"members", std::move(members)}});
   }
   return groups;
--- a/tests/forwarding/engine_choice_test.cpp
+++ b/tests/forwarding/engine_choice_test.cpp
@@ -27,7 +27,7 @@
     return all;
   }
   /// @return how often @p engine is chosen in 200 choices.
-  std::size_t draws_of(const routing::Backend& engine, std::string_view key = "") {
+  std::size_t times_chosen(const routing::Backend& engine, std::string_view key = "") {
     std::size_t drawn = 0;
     for (std::size_t draw = 0; draw < 200; ++draw) {
       drawn += &choose_backend({candidates(), key, now, environment.random()}) == &engine ? 1 : 0;
@@ -45,12 +45,12 @@
 TEST_CASE("short requests avoid an engine that prefills a long prompt") {
   // Guards against live replies that wait 300 to 470 ms behind the prefill of a prompt sent by another gateway.
   ChoiceFixture fixture;
-  CHECK(fixture.draws_of(fixture.engines[1]) > 0);
+  CHECK(fixture.times_chosen(fixture.engines[1]) > 0);
   fixture.engines[1].reading_until = fixture.now + 200ms;
   // The bound allows for choices in which all four samples fall on this engine.
-  CHECK(fixture.draws_of(fixture.engines[1]) < 10);
+  CHECK(fixture.times_chosen(fixture.engines[1]) < 10);
   fixture.engines[1].reading_until = fixture.now;
-  CHECK(fixture.draws_of(fixture.engines[1]) > 10);
+  CHECK(fixture.times_chosen(fixture.engines[1]) > 10);
 }
 
 TEST_CASE("an engine that prefills a long prompt is still chosen when the others have far more load") {
@@ -59,23 +59,23 @@
   for (const unsigned other : {0U, 2U, 3U}) {
     fixture.engines[other].online_in_flight = 6;
   }
-  CHECK(fixture.draws_of(fixture.engines[1]) > 100);
+  CHECK(fixture.times_chosen(fixture.engines[1]) > 100);
 }
 
 TEST_CASE("a long prompt goes to the next engine in affinity order while the preferred one prefills another prompt") {
   ChoiceFixture fixture;
   const routing::Backend& first = choose_backend({fixture.candidates(), "key", fixture.now, 1});
-  CHECK(fixture.draws_of(first, "key") == 200);
+  CHECK(fixture.times_chosen(first, "key") == 200);
   const_cast<routing::Backend&>(first).reading_until = fixture.now + 200ms;
   const routing::Backend& second = choose_backend({fixture.candidates(), "key", fixture.now, 1});
   CHECK(&second != &first);
-  CHECK(fixture.draws_of(second, "key") == 200);
+  CHECK(fixture.times_chosen(second, "key") == 200);
 }
 
 namespace {
 
 /// @return another gateway's call report about one engine.
-wire::EngineActivityT told_of(const BackendId& engine, std::uint32_t live, std::uint32_t batch) {
+wire::EngineActivityT call_report(const BackendId& engine, std::uint32_t live, std::uint32_t batch) {
   wire::EngineActivityT message;
   message.node = "other";
   auto entry = std::make_unique<wire::EngineCallsT>();
@@ -94,16 +94,16 @@
   // Guards against bursts in which 5 to 10 in 100 live replies waited for a slot while other engines had a free one.
   ChoiceFixture fixture;
   routing::shared_calls shared;
-  shared.take(told_of(fixture.engines[0].machine.id, 8, 0), fixture.now);
-  shared.take(told_of(fixture.engines[1].machine.id, 2, 6), fixture.now);
-  shared.take(told_of(fixture.engines[2].machine.id, 7, 0), fixture.now);
-  shared.take(told_of(fixture.engines[3].machine.id, 12, 0), fixture.now);
+  shared.take(call_report(fixture.engines[0].machine.id, 8, 0), fixture.now);
+  shared.take(call_report(fixture.engines[1].machine.id, 2, 6), fixture.now);
+  shared.take(call_report(fixture.engines[2].machine.id, 7, 0), fixture.now);
+  shared.take(call_report(fixture.engines[3].machine.id, 12, 0), fixture.now);
   ChoiceInput input{fixture.candidates(), "", fixture.now, 1};
   input.shared = &shared;
   CHECK(&choose_backend(input) == &fixture.engines[2]);
-  shared.take(told_of(fixture.engines[2].machine.id, 8, 0), fixture.now);
+  shared.take(call_report(fixture.engines[2].machine.id, 8, 0), fixture.now);
   CHECK(&choose_backend(input) == &fixture.engines[1]);
-  shared.take(told_of(fixture.engines[1].machine.id, 9, 0), fixture.now);
+  shared.take(call_report(fixture.engines[1].machine.id, 9, 0), fixture.now);
   CHECK(&choose_backend(input) != &fixture.engines[3]);
 }
 
@@ -112,7 +112,7 @@
   // node reported these calls.
   ChoiceFixture fixture;
   routing::shared_calls shared;
-  shared.take(told_of(fixture.engines[1].machine.id, 1, 0), fixture.now);
+  shared.take(call_report(fixture.engines[1].machine.id, 1, 0), fixture.now);
   fixture.engines[0].reported_at = fixture.now - 100ms;
   fixture.engines[0].unexplained = 8;
   CHECK(calls_at(fixture.engines[0], shared, fixture.now).live == 8);
--- a/tests/forwarding/forwarder_test.cpp
+++ b/tests/forwarding/forwarder_test.cpp
@@ -325,12 +325,12 @@
   fixture.registry.on_heard(fixture.call(0).call.backend);
   fixture.environment.world.run_for(100ms);
   CHECK(fixture.upstream.calls.size() == 1);
-  Fixture dark(2);
-  dark.route->target_ms = 600;
-  dark.start();
-  dark.environment.world.run_for(610ms);
-  CHECK(dark.call(0).cancelled);
-  CHECK(dark.upstream.calls.size() == 2);
+  Fixture unresponsive(2);
+  unresponsive.route->target_ms = 600;
+  unresponsive.start();
+  unresponsive.environment.world.run_for(610ms);
+  CHECK(unresponsive.call(0).cancelled);
+  CHECK(unresponsive.upstream.calls.size() == 2);
 }
 
 TEST_CASE("pools get requests in proportion to their weights") {
