--- a/src/forwarding/forwarder.cpp
+++ b/src/forwarding/forwarder.cpp
@@ -359,10 +359,9 @@
   if (!active.route->may_repeat() || active.runs + 1 >= active.route->max_attempts) {
     return;
   }
-  const Duration patience =
-      std::max<Duration>(kMinFirstByteTimeout, std::chrono::milliseconds(active.route->target_ms));
+  const Duration timeout = std::max<Duration>(kMinFirstByteTimeout, std::chrono::milliseconds(active.route->target_ms));
   const std::uint64_t attempt = active.attempt;
-  environment_.after(patience, lifetime_.guard([this, id, attempt] {
+  environment_.after(timeout, lifetime_.guard([this, id, attempt] {
     if (!is_current(id, attempt) || requests_.at(id).has_first_byte) {
       return;
     }
--- a/tests/forwarding/engine_choice_test.cpp
+++ b/tests/forwarding/engine_choice_test.cpp
@@ -47,7 +47,7 @@
   ChoiceFixture fixture;
   CHECK(fixture.times_chosen(fixture.engines[1]) > 0);
   fixture.engines[1].reading_until = fixture.now + 200ms;
-  // The bound allows for choices in which all four samples fall on this engine.
+  // The bound leaves room for rare choices of an engine in prefill; it does not require that there are none.
   CHECK(fixture.times_chosen(fixture.engines[1]) < 10);
   fixture.engines[1].reading_until = fixture.now;
   CHECK(fixture.times_chosen(fixture.engines[1]) > 10);
