--- a/src/forwarding/engine_choice.cpp
+++ b/src/forwarding/engine_choice.cpp
@@ -9,19 +9,20 @@
 
 using routing::Backend;
 
-constexpr Duration kReportFresh = 4s;
-constexpr Duration kSilence = 500ms;
-constexpr Duration kExcessHolds = 1s;
-constexpr double kAffinitySlack = 0.25;  ///< Of the slots above the average load.
+constexpr Duration kReportMaxAge = 4s;
+constexpr Duration kUnresponsiveAfter = 500ms;
+constexpr Duration kUnattributedMaxAge = 1s;
+/// A back end is chosen by affinity while its load is at most this part of its slots above the average load.
+constexpr double kAffinitySlack = 0.25;
 constexpr double kMaxSlowness = 8.0;
-/// What a back end that reads a long prompt seems fuller by, as a part of its slots.
+/// Added to the load of a back end while it prefills a long prompt, as a part of its slots.
 constexpr double kReadingPenalty = 0.5;
 
 bool uses_shared(const ChoiceInput& input) { return input.shared != nullptr && input.shared->any_heard(); }
 
-/// @return expected trouble for one more live call: below 1 there is a free slot, below 2 batch work has to yield, from
-///         2 on it waits for another live call to end.
-double cost_of(const known_calls& calls) {
+/// @return expected cost of one more live call: below 1 a slot is free; from 1 to below 2 a batch call has to free its
+///         slot; from 2 on the call waits for another live call to end.
+double live_call_cost(const known_calls& calls) {
   const double live = (calls.live + 1) / calls.slots;
   if (calls.live + calls.batch < calls.slots) {
     return (calls.live + calls.batch + 1) / calls.slots;
@@ -31,12 +32,13 @@
 
 double load(const Backend& backend, const ChoiceInput& input) {
   if (uses_shared(input)) {
-    return cost_of(calls_at(backend, *input.shared, input.now));
+    return live_call_cost(calls_at(backend, *input.shared, input.now));
   }
   return (estimated_requests(backend, input.now, input.sharing) + 1) / backend.machine.slots;
 }
 
-/// @return load as far as it matters to where a prompt's start is kept: batch work gives way.
+/// @return load that counts for affinity: where calls are shared, without batch calls, since these free their slots for
+///         live calls.
 double affinity_load(const Backend& backend, const ChoiceInput& input) {
   if (!uses_shared(input)) {
     return load(backend, input);
@@ -45,7 +47,7 @@
   return (calls.live + 1) / calls.slots;
 }
 
-Backend* affine_backend(const std::vector<Backend*>& candidates, const ChoiceInput& input, double median) {
+Backend* backend_by_affinity(const std::vector<Backend*>& candidates, const ChoiceInput& input, double median) {
   double total = 0;
   for (const Backend* candidate : candidates) {
     total += affinity_load(*candidate, input);
@@ -67,7 +69,7 @@
   return best;
 }
 
-/// @return up to @p count of @p candidates at random, each once.
+/// @return up to @p count of @p candidates, drawn at random without replacement.
 std::vector<Backend*> draw(std::vector<Backend*> candidates, std::size_t count, std::uint64_t random) {
   constexpr std::uint64_t kMultiplier = 6364136223846793005ULL;
   const std::size_t drawn = std::min(count, candidates.size());
@@ -107,14 +109,14 @@
 
 known_calls calls_at(const Backend& backend, const routing::shared_calls& shared, Timestamp now) {
   const routing::open_calls others = shared.at(backend.machine.id);
-  const std::uint32_t unexplained = now - backend.reported_at < kExcessHolds ? backend.unexplained : 0;
+  const std::uint32_t unexplained = now - backend.reported_at < kUnattributedMaxAge ? backend.unexplained : 0;
   return {static_cast<double>(backend.online_in_flight + others.live + unexplained),
           static_cast<double>(backend.batch_in_flight + others.batch), static_cast<double>(backend.machine.slots)};
 }
 
 double estimated_requests(const Backend& backend, Timestamp now, double sharing) {
   const double own = backend.online_in_flight;
-  const bool fresh = backend.reported_at.count() != 0 && now - backend.reported_at < kReportFresh;
+  const bool fresh = backend.reported_at.count() != 0 && now - backend.reported_at < kReportMaxAge;
   if (!fresh) {
     return own * sharing;
   }
@@ -124,7 +126,7 @@
 }
 
 bool silent(const Backend& backend, Timestamp now) {
-  return backend.open_calls > 0 && now - backend.quiet_since > kSilence;
+  return backend.open_calls > 0 && now - backend.quiet_since > kUnresponsiveAfter;
 }
 
 Backend& preferred_backend(const std::vector<Backend*>& candidates, std::string_view key) {
@@ -148,7 +150,7 @@
   }
   const double median = median_latency(candidates);
   if (!input.affinity_key.empty()) {
-    if (Backend* affine = affine_backend(candidates, input, median)) {
+    if (Backend* affine = backend_by_affinity(candidates, input, median)) {
       return *affine;
     }
   }
