--- a/src/object_store/controller.cpp
+++ b/src/object_store/controller.cpp
@@ -9,41 +9,42 @@
 constexpr Duration kIdle = 500ms;
 constexpr Duration kFeedCheck = 100ms;
 constexpr Duration kStartCheck = 50ms;
-/// Changes of a large fleet come in storms, as when all back ends start; those within this time share a call.
+/// Changes in a large fleet come in bursts, as when all back ends start; changes within this time share one call.
 constexpr Duration kNewsPause = 400ms;
 constexpr Duration kCallSummary = 5s;
-/// Between the looks of two nodes of a zone that follow each other in rank: the first one's word takes that long.
+/// Delay between the polls of nodes with successive ranks in a zone: the result of the first one takes that long to
+/// arrive.
 constexpr Duration kLookStep = 40ms;
-/// The same for the first nodes of a zone that hold nothing yet: a list of 10,000 back ends takes some seconds, and
-/// each of its 50 pages is a call.
+/// Delay between the polls of a zone's first nodes that have no data yet: a list of 10,000 back ends takes some seconds
+/// to read, and each of its 50 pages is a call.
 constexpr Duration kStartLookStep = 500ms;
 constexpr Duration::rep kApartAtStart = 8;
-constexpr Duration kLeastLookPause = 1s;  ///< After a look that failed; it doubles.
-/// So a node that the store serves again knows what it tells after 4 s at the latest.
+constexpr Duration kLeastLookPause = 1s;  ///< After a failed poll; doubles.
+/// With this limit a node has the store's data at most 4 s after the store serves it again.
 constexpr unsigned kMostLookDoublings = 1;
-/// Word that is fresher by less is not worth passing on.
+/// A feed that is newer by less than this is not forwarded.
 constexpr Duration kRelayStep = 300ms;
 constexpr Duration kDeclareRest = 1s;
 constexpr Duration kAnnounceTime = 5s;
-/// A former member has to seem gone for so long: one who was frozen or cut off may know its node with an earlier disk
-/// for a while, and what it holds may stand nowhere else.
+/// Time for which a former member has to appear gone: a controller that was frozen or partitioned may know its node
+/// with an earlier disk for a while, and the records of the former member may have no other copy.
 constexpr Duration kLeaverPatience = 5s;
-/// A former member that is there and says nothing of leaving: it may have started just now and not know yet that it is
-/// to be emptied, while the store is away.
+/// The same for a former member that is alive and does not report that it leaves: it may have just started and, while
+/// the store is unavailable, not know yet that it is to be drained.
 constexpr Duration kStayerPatience = 60s;
-/// A node that lists no new members by then misses those that it has not heard of. A member that starts later keeps
-/// what it holds for the others to copy.
+/// Time after its start from which a node treats members unknown to it as missing. A member that starts later keeps its
+/// records for the others to copy.
 constexpr Duration kSettling = 1s;
-/// A member waits so long for the maintainers to tell the store of its group's epoch before it does.
+/// Time for which a member waits for the maintainers to publish its group's epoch in the store before it does.
 constexpr Duration kUntoldPatience = 2s;
-/// From one controller that may found the groups to the next.
+/// Delay between the turns of controllers of successive ranks to found the groups.
 constexpr Duration kFoundingTurn = 2s;
-/// The same change is not proposed again for so long after a refusal.
+/// Time after a refusal for which the same change is not proposed again.
 constexpr Duration kRefusedRest = 1s;
-/// Decisions under way at a node that does not look after the groups.
+/// Limit of concurrent decisions at a node that is not a maintainer of the groups.
 constexpr std::size_t kMostDecisionsInTurn = 16;
-/// How often the process notes that it runs. An answer may be read after the first note that follows a standstill, so
-/// the last but one counts.
+/// Interval at which the process records that it is running. A reply may be read after the first record that follows a
+/// suspension, so the last but one is used.
 constexpr Duration kRunCheck = 50ms;
 
 }  // namespace
@@ -92,7 +93,7 @@
 }
 
 bool Controller::waits_for_peers() const {
-  // The seeds are where the others look for word.
+  // The other nodes expect the feed from the seeds.
   if (!members_.has_seeds() || members_.is_seed()) {
     return false;
   }
@@ -102,7 +103,7 @@
     const auto before = static_cast<Duration::rep>(feeds_.rank_in_fleet());
     return up < options_.start_patience + std::min<Duration>(kLookStep * before, options_.start_settling);
   }
-  // With few members known yet a large fleet looks like one in which all read.
+  // While few members are known, a large fleet appears small enough for every node to read the store.
   return up < options_.start_settling && environment_.now() - word < options_.feed_silence;
 }
 
@@ -114,7 +115,7 @@
 }
 
 void Controller::relay(config::TableReplicator& table, Relayed& relayed) {
-  // News goes on at once, however short a time ago the word before it went.
+  // A new revision is forwarded at once, regardless of the time since the last message.
   const bool news = table.table().revision() > relayed.revision;
   const bool fresher = table.as_of() >= relayed.as_of + kRelayStep;
   if ((!news && !fresher) || feeds_.all_read() || !feeds_.is_relay()) {
@@ -180,8 +181,9 @@
     }
     const ChangeList& changes = value_of(result);
     note_rejected(changes);
-    // Without news the store answers at the end of the wait. News may have come long before this node reads it: its
-    // process may have stood still, so the answer is dated by when the process surely ran and had none.
+    // Without changes the store replies at the end of the wait. Changes may have arrived long before this node reads
+    // them, since its process may have been suspended, so the reply is dated by the last time at which the process is
+    // known to have run without them.
     const Timestamp none_yet = std::max(asked_at, ran_at_.back());
     const bool news = !changes.entries.empty() || !changes.rejected.empty() || changes.complete;
     const Timestamp as_of = news ? none_yet : std::min(environment_.now(), asked_at + wait);
@@ -198,7 +200,7 @@
   (platform_.*source)(table.table().revision(), wait, lifetime_.guard(take));
 }
 
-/// Notes are for answers that are awaited.
+/// Runs only while replies are outstanding.
 void Controller::note_running() {
   notes_running_ = asks_ > 0;
   if (!notes_running_) {
@@ -238,7 +240,7 @@
     return;
   }
   const bool empty = table.table().revision() == 0;
-  // What a peer sends piece by piece need not be listed.
+  // A table that is being pulled from a peer in parts need not be read from the store.
   if (silence < patience_with_feed(empty) || (empty && table.pulls())) {
     return;
   }
@@ -250,14 +252,14 @@
     look.running = false;
     if (answered) {
       look.failures = 0;
-      // Nodes of this zone that miss the feed as well need not look.
+      // Spares the other nodes of this zone without a feed their own polls.
       table.feed(feeds_.zone_peers());
       if (&table == &machines_) {
         look_at_evacuations();
       }
       return;
     }
-    // The readers go on trying; all others asking as often would be a storm of calls while the store is away.
+    // The readers keep retrying; the same rate from all other nodes would flood the store while it is unavailable.
     const Duration pause = kLeastLookPause * (1U << std::min(look.failures++, kMostLookDoublings));
     look.not_before = environment_.now() + pause + Duration(environment_.random() % pause.count());
   });
@@ -274,7 +276,7 @@
   });
 }
 
-/// Calls are priced and rated: who makes them has to be seen.
+/// Logs the number of calls to the store, since calls are billed and rate limited.
 void Controller::tell_calls() {
   environment_.after(kCallSummary, lifetime_.guard([this] { tell_calls(); }));
   const CounterValue reads = counters_["platform_reads_total"];
@@ -387,7 +389,7 @@
     });
     ledger::ReplicaGroup group;
     group.epoch = 1;
-    // Each round takes one node of a zone, so that no zone holds more than its share.
+    // Each round takes one node of each zone, so that the replicas are spread evenly over the zones.
     while (group.replicas.size() < replicas) {
       std::set<std::string> used;
       std::vector<const wire::MemberT*> left;
@@ -411,7 +413,7 @@
   const wire::MemberT* node = member(replica.node);
   if (node != nullptr && node->state != wire::MemberState::Dead) {
     missing_since_.erase(replica.node);
-    // A node that was frozen knows its peers as they were, but may have just learnt of later epochs.
+    // A node that was frozen has an outdated list of members, but may have just received later epochs.
     const bool known_as_it_was = ledger_.is_obsolete({replica.node, DiskId(node->disk_id)});
     if (!node->disk_id.empty() && node->disk_id != replica.disk.str() && !known_as_it_was) {
       return ledger::replica_state::disk_replaced;
@@ -433,7 +435,7 @@
                                                        : ledger::replica_state::present;
 }
 
-/// What this controller believes of the fleet, as the rule for the next epoch asks for it.
+/// This controller's view of the fleet, as input to the rule for the next epoch.
 class Controller::group_beliefs : public ledger::fleet_view {
  public:
   explicit group_beliefs(Controller& controller) : controller_(controller) {}
@@ -479,11 +481,11 @@
 
  private:
   Controller& controller_;
-  mutable std::optional<std::vector<ledger::disk_place>> places_;  ///< Once a look: every node looks.
+  mutable std::optional<std::vector<ledger::disk_place>> places_;  ///< Cached for one check, as every node runs them.
 };
 
 namespace {
-/// @return the disk that @p change makes a member, which it is not in @p present; there is one at most.
+/// @return the disk that @p change adds to the members in @p present; there is at most one.
 std::optional<ledger::ReplicaIdentity> newcomer_of(const ledger::epoch_change& change,
                                                    const ledger::ReplicaGroup& present) {
   for (const ledger::ReplicaIdentity& replica : change.next.replicas) {
@@ -523,7 +525,7 @@
     }
     ++there;
   }
-  // Members come first: they reach each other, or nobody can decide. Every other turn is theirs later on.
+  // Members come first: no change can be decided unless they reach each other. Later, every other turn is theirs.
   if (place) {
     return proposal_turns{*place, 2 * there};
   }
@@ -541,8 +543,8 @@
   if (deciding_.size() >= kMostDecisionsInTurn) {
     return false;
   }
-  // That a silent node is gone is this node's word alone: only a member's, which others have to agree with, goes for
-  // it.
+  // That an unresponsive node is gone is only this node's view. It suffices only if this node is a member, since other
+  // members have to agree with it.
   const ledger::ReplicaGroup& description = ledger_.group_map().groups[group];
   const bool is_member =
       description.index_of({NodeId(members_.self().id), DiskId(members_.self().disk_id)}).has_value();
@@ -651,7 +653,7 @@
     } else {
       pending_.note_outcome(group, error_of(status));
       proposals_.tell_not_let(group, change, error_of(status));
-      deciding_.erase(group);  // asked again at the next look, if it is still wanted
+      deciding_.erase(group);  // proposed again at the next check, if still wanted
     }
   }));
 }
@@ -663,7 +665,7 @@
     deciding_.erase(group);
     announce_until_[group] = environment_.now() + kAnnounceTime;
     proposals_.tell(group, change, result);
-    // It waits to hear whether that epoch names it.
+    // The new disk waits to learn whether that epoch names it.
     if (newcomer) {
       ledger_.tell_group(group, newcomer->node);
     }
@@ -677,7 +679,7 @@
   ledger_.decide_next(group, change.next, change.rule, lifetime_.guard(decided));
 }
 
-/// The published map lets nodes that start find the groups; the members' own decisions stand.
+/// The published map lets starting nodes find the groups; the members' own decisions are authoritative.
 void Controller::publish_groups() {
   const auto& known = ledger_.group_map().groups;
   const auto& published = catalog_.groups().groups;
@@ -712,7 +714,7 @@
   if (untold_since_.count() == 0) {
     untold_since_ = environment_.now();
   }
-  // One after the other, so that the first one's word spares the others the call.
+  // Members take turns, so that a publication by the first one spares the others the call.
   if (environment_.now() - untold_since_ > kUntoldPatience * (1 + *place)) {
     publish_groups();
   }
@@ -727,7 +729,7 @@
   request.expected_revision = present == nullptr ? 0 : present->revision;
   declaring_ = true;
   declarations_.declare(std::move(request), lifetime_.guard([this](const Result<std::uint64_t>&) {
-    // Whoever won, the watch brings what stands.
+    // Whichever write won, the watch delivers the current object.
     environment_.after(kDeclareRest, lifetime_.guard([this] { declaring_ = false; }));
   }));
 }
--- a/src/object_store/controller.hpp
+++ b/src/object_store/controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Reads the platform's store and machine list for the whole fleet, and keeps the
-/// ledger's replica groups populated. Every controller node runs it; few are active.
+/// @file Reads the platform's store and machine list for the whole fleet, and replaces lost members of the
+/// ledger's replica groups. Every controller node runs it; only a few nodes are active at a time.
 
 #include <algorithm>
 #include <array>
@@ -23,33 +23,34 @@
 namespace madderdeck::object_store {
 
 struct ControllerOptions {
-  std::size_t readers = 2;         ///< Controllers of the whole fleet that watch the store at the same time.
-  std::size_t relays = 2;          ///< Controllers of each zone that pass the readers' word on to the others there.
-  std::size_t all_read_up_to = 0;  ///< In fleets of so many controllers or fewer every one watches the store.
-  /// A node that is no reader looks into the store itself when no peer has brought word of it for so long; zero: never.
+  std::size_t readers = 2;         ///< Number of controllers in the whole fleet that watch the store.
+  std::size_t relays = 2;          ///< Number of controllers in each zone that forward the readers' feed there.
+  std::size_t all_read_up_to = 0;  ///< In fleets with at most this many controllers, all watch the store.
+  /// A node that is not a reader polls the store itself after this time without a feed message; zero: never.
   Duration feed_silence{};
-  /// Nodes of a zone look one after the other within this time, so that the first one's word reaches the others.
+  /// The polls of a zone's nodes are spread over this time, so that the result of the first one reaches the others.
   Duration look_spread = 500ms;
-  /// A node that starts and knows a seed waits so long for a peer's word before it reads the store.
+  /// After its start, a node that knows a seed waits this long for a peer's feed before it reads the store.
   Duration start_patience{};
-  /// For so long after its start a node that hears from peers leaves the store to them: it may not know all members
-  /// yet.
+  /// For this long after its start, a node that receives the feed from peers does not read the store: it may not know
+  /// all members yet.
   Duration start_settling{};
-  std::size_t maintainers = 2;      ///< Controllers that look after the replica groups.
-  Duration store_retry = 1s;        ///< Pause after a watch that failed.
-  Duration founding_wait = 3s;      ///< So that all disks of a new fleet are seen.
-  Duration founding_patience = 8s;  ///< Then the groups are founded on fewer disks than they ought to have.
-  Duration group_check = 1s;        ///< How often the replica groups are looked at.
-  Duration replace_after{};         ///< Silence after which a replica is replaced; zero: as the fleet's policy says.
+  std::size_t maintainers = 2;      ///< Number of controllers that maintain the replica groups.
+  Duration store_retry = 1s;        ///< Delay after a failed watch.
+  Duration founding_wait = 3s;      ///< Time for all disks of a new fleet to appear.
+  Duration founding_patience = 8s;  ///< After it, groups are founded with fewer than `replicas` disks.
+  Duration group_check = 1s;        ///< Interval between checks of the replica groups.
+  Duration replace_after{};         ///< Replaces a replica after it is missing this long; zero: the fleet's policy.
   Duration watch_wait = 10s;
-  Duration watch_wait_of_readers = 1s;  ///< The same where others rely on this node's word of the store.
+  Duration watch_wait_of_readers = 1s;  ///< watch_wait of a reader that feeds other nodes.
   Duration machine_poll = 500ms;
-  std::size_t group_count = 16;  ///< Replica groups of a newly founded fleet, per three disks or more.
-  std::size_t replicas = 3;      ///< Of each group: 2 n + 1 bear the loss of n disks at once.
+  std::size_t group_count = 16;  ///< Replica groups of a newly founded fleet, each on three or more disks.
+  std::size_t replicas = 3;      ///< Of each group: 2 n + 1 tolerate the simultaneous loss of n disks.
   ledger::change_guards changes;
 
-  /// Chooses waits so that every node of a large fleet has a new configuration within @p bound, also where all readers
-  /// are away: word is at most one wait old, then the nodes look themselves, the last one after three quarters.
+  /// Sets the wait times so that every node of a large fleet has a new configuration within @p bound, even when all
+  /// readers are down: the feed is at most one watch wait old, then the nodes poll the store, the last one after three
+  /// quarters of @p bound.
   void keep_within(Duration bound) {
     watch_wait_of_readers = bound * 3 / 8;
     feed_silence = bound * 9 / 20;
@@ -70,83 +71,86 @@
   void start();
   /// @return whether this node is one of the few that read the store.
   bool is_reader() const;
-  /// Takes the answer of a disk that was offered a place.
+  /// Handles the reply of a disk that was offered a place in a group.
   void handle(const PeerAddress& sender, const wire::CopyStatusT& message) { offers_.handle(sender, message); }
-  /// @return whether the place of @p member, which is about to go, is to be given to another disk by this node's view.
+  /// @return whether, in this node's view, the place of @p member, which is stopping, is to be given to another disk.
   bool wants_place_of(std::uint32_t group, const ledger::ReplicaIdentity& member);
 
  private:
   using Watch = void (PlatformClient::*)(std::uint64_t, Duration, ChangesDone);
-  /// Watches one source for as long as this node is a reader.
-  /// @param at_once whether the store is to answer without waiting for a change: after a failure it
-  ///        shows soon that the store is back.
+  /// Watches one source while this node is a reader.
+  /// @param at_once whether the store is to reply without waiting for a change; used after a failure to detect
+  ///        early that the store is available again.
   void watch(config::TableReplicator& table, Watch source, bool at_once);
   /// @return whether this node has just started and may still get the tables from a peer.
   bool waits_for_peers() const;
-  /// Passes the readers' word on, if this node is to and there is fresher word than it last passed on.
+  /// Revision and time of the table state that this node last forwarded.
   struct Relayed {
     std::uint64_t revision = 0;
     Timestamp as_of{};
   };
+  /// Forwards the readers' feed if this node is a relay and the table is newer than what it last forwarded.
   void relay(config::TableReplicator& table, Relayed& relayed);
-  /// @return after how long a silence of the feed this node looks into the store.
-  /// @param empty whether nothing of the table is held yet.
+  /// @return the time without a feed message after which this node polls the store.
+  /// @param empty whether this node has no revision of the table yet.
   Duration patience_with_feed(bool empty) const;
-  /// Asks the source once; @p next gets whether it answered.
+  /// Sends one request to the source; @p next receives whether it succeeded.
   void ask(config::TableReplicator& table, Watch source, Duration wait, std::function<void(bool)> next);
-  /// Keeps when this process surely ran: what is read after a standstill may have come at its beginning.
+  /// Records times at which this process was running: a reply that is read after the process was suspended may have
+  /// arrived when the suspension began.
   void note_running();
-  /// Looks into the store where the readers' word of it has grown old: they may all be away, or cut off from here.
+  /// Polls the store when the feed is overdue: all readers may be down, or partitioned from this node.
   void check_feed();
-  /// A table that this node may have to look up itself.
+  /// State of this node's own polls of a table, made when the feed is overdue.
   struct Look {
     bool running = false;
-    unsigned failures = 0;   ///< In a row.
-    Timestamp not_before{};  ///< After a failure.
+    unsigned failures = 0;   ///< Consecutive.
+    Timestamp not_before{};  ///< Earliest next poll after a failure.
   };
   void look_when_silent(config::TableReplicator& table, Watch source, Look& look);
-  /// Whoever has to look at the machine list looks at the zones that are evacuated, too.
+  /// Reads the evacuated zones; called after this node had to read the machine list itself.
   void look_at_evacuations();
   void tell_calls();
   void note_store(bool answers);
-  /// What cannot be read is told of: the version before stays in force.
+  /// Logs objects that cannot be parsed; their previous versions stay in force.
   void note_rejected(const ChangeList& changes);
   void maintain_groups();
-  /// @return whether this process has run for long enough to found groups on the nodes that it has heard of.
+  /// @return whether this process has run for long enough to found groups on the nodes that it knows.
   bool knows_fleet() const;
-  /// @return whether this node has joined the fleet for long enough to miss members that it has not heard of.
+  /// @return whether this node has been in the fleet long enough to treat members unknown to it as missing.
   bool has_settled() const;
   void found_groups();
   class group_beliefs;
-  /// Looks at what is wanted of each group, and has it decided where this node is to.
-  /// @param maintains whether it is one of the few that look after the groups.
+  /// Determines the wanted change of each group, and proposes it if this node is to.
+  /// @param maintains whether this node is one of the maintainers of the groups.
   void change_groups(bool maintains);
-  /// @return whether it is this node's turn at a change of @p group that those who look after the groups have not made:
-  ///         they may be cut off from its members, be turned away by the store, or believe something else.
+  /// @return whether it is this node's turn to propose a change of @p group that the maintainers have not made: they
+  ///         may be partitioned from its members, be refused by the store, or have another view of the members.
   bool takes_turn(std::uint32_t group, const ledger::epoch_change& change);
-  /// @return whether @p change gives up a member, or a former one, that is only silent as this node believes.
+  /// @return whether @p change gives up a member, or drops a former one, only because it is unresponsive in this node's
+  ///         view.
   bool takes_silence_for_loss(const ledger::epoch_change& change);
-  /// @return when it is, at changes of @p group; nothing where this node takes no new work.
+  /// @return the turns of this node at changes of @p group; nothing if it accepts no new work.
   std::optional<proposal_turns> turns_at(const ledger::ReplicaGroup& group);
-  /// @return whether this node is to found the groups, which those that rank before it have not done.
+  /// @return whether this node is to found the groups because the nodes that rank before it have not done so.
   bool is_to_found() const;
-  /// Tells operators of changes that are wanted and not made.
+  /// Logs changes that are wanted and not made.
   void tell_pending_changes();
-  /// @return whether others have refused the same change of @p group a moment ago: asking at each look brings nothing.
+  /// @return whether the same change of @p group was refused recently; proposing it at each check would be useless.
   bool was_just_refused(std::uint32_t group, const ledger::epoch_change& change) const;
-  /// Has @p change decided, after the consent of the disk that is to become a member.
+  /// First step of @p change: asks the disk that is to become a member, if any, for its consent.
   void begin_change(std::uint32_t group, const ledger::epoch_change& change);
-  /// The same, where one member is to decide alone after its word that it misses the other one, too.
+  /// Second step: where one member is to decide alone, asks it to confirm that it cannot reach the other one either.
   void ask_sole_decider(std::uint32_t group, const ledger::epoch_change& change);
-  /// The same, after the store's grant where one member is to decide alone.
+  /// Third step: where one member is to decide alone, asks the store to grant that.
   void ask_store(std::uint32_t group, const ledger::epoch_change& change);
-  /// The disk that was to become a member, or to decide alone, does not: nobody else is asked.
+  /// Ends @p change without a vote, because the disk that was to become a member, or to decide alone, refused.
   void end_change(std::uint32_t group, const ledger::epoch_change& change, const Error& why);
   void decide(std::uint32_t group, const ledger::epoch_change& change);
   void publish_groups();
-  /// Publishes what the maintainers ought to have: they may not know of it.
+  /// Publishes epochs that the maintainers have not published in time; they may not know of them.
   void publish_overdue_groups();
-  /// @return the number of this node among the members of the first group whose published epoch is an earlier one.
+  /// @return the index of this node among the members of its first group whose published epoch is outdated.
   std::optional<std::uint32_t> place_in_untold_group() const;
   void declare_groups(const ledger::GroupMap& map);
   std::vector<const wire::MemberT*> ledger_nodes() const;
@@ -169,7 +173,7 @@
   const feed_tree feeds_;
   std::map<NodeId, Timestamp> missing_since_;
   std::set<std::uint32_t> deciding_;
-  /// The latest proposal for a group that others refused.
+  /// The latest refused proposal for a group.
   struct refused_change {
     ledger::ReplicaGroup next;
     Timestamp at{};
@@ -179,17 +183,17 @@
   proposal_journal proposals_;
   sole_deciders deciders_;
   place_offers offers_;
-  std::map<std::uint32_t, Timestamp> announce_until_;  ///< Groups whose latest epoch is repeated for a while.
-  std::map<ledger::ReplicaIdentity, Timestamp> leaver_gone_since_;  ///< Former members that seem to be gone.
+  std::map<std::uint32_t, Timestamp> announce_until_;  ///< Until when a group's latest epoch is announced again.
+  std::map<ledger::ReplicaIdentity, Timestamp> leaver_gone_since_;  ///< Former members that appear gone.
   bool declaring_ = false;
-  Timestamp untold_since_{};  ///< Since when this node is in a group whose published epoch is an earlier one; zero: no.
+  Timestamp untold_since_{};  ///< Since when a group of this node has an outdated published epoch; zero: none has.
   CounterValue told_reads_ = 0;
   Timestamp store_silent_since_{};
   Timestamp started_{};
-  std::size_t asks_ = 0;  ///< Questions to the store that are to be answered yet.
+  std::size_t asks_ = 0;  ///< Requests to the store without a reply yet.
   bool notes_running_ = false;
-  std::array<Timestamp, 2> ran_at_{};  ///< The latest notes that this process runs, the later one first.
-  std::map<config::TableReplicator*, Timestamp> watched_since_;  ///< Watches that wait for their answer.
+  std::array<Timestamp, 2> ran_at_{};  ///< The last two times noted by note_running(), latest first.
+  std::map<config::TableReplicator*, Timestamp> watched_since_;  ///< Start times of open watches.
   Look look_at_objects_;
   Look look_at_machines_;
   Look look_at_groups_;
--- a/src/object_store/declarations.cpp
+++ b/src/object_store/declarations.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr Duration kSettleTime = 5s;
 constexpr Duration kRetryPause = 200ms;
-/// Beyond that an answer is not waited for: a client of the store tells of a failed call within it.
+/// Additional wait for a missing reply; a client of the store reports a failed call within this time.
 constexpr Duration kAnswerTime = 4s;
 }  // namespace
 
@@ -25,7 +25,7 @@
 void Declarations::end_unanswered(ChangeNumber number) {
   if (pending_.contains(number)) {
     counters_["declarations_unanswered_total"]++;
-    finish(number, Error{ErrorKind::ambiguous, "the platform's store has not answered at all"});
+    finish(number, Error{ErrorKind::ambiguous, "the platform's store did not reply"});
   }
 }
 
@@ -51,7 +51,7 @@
       pending.maybe_applied = true;
       retry(number, &Declarations::read_back);
     } else if (kind == ErrorKind::conflict && pending.maybe_applied) {
-      read_back(number);  // the conflict may be with our own earlier write
+      read_back(number);  // the conflict may be with this change's own earlier write
     } else if (kind == ErrorKind::unavailable) {
       retry(number, &Declarations::try_put);
     } else {
@@ -80,11 +80,11 @@
         }
         const std::uint64_t standing = stored && !stored->entry.deleted ? stored->entry.revision : 0;
         if (standing == pending.request.expected_revision) {
-          // Not applied yet; the same compare-and-set again can take effect only once.
+          // Not applied yet; repeating the same compare-and-set can take effect only once.
           retry(number, &Declarations::try_put);
           return;
         }
-        // Another write stands; ours may have been under it for a moment.
+        // Another write is current; this one may have been applied and overwritten.
         finish(number, Error{ErrorKind::ambiguous, "another change stands at revision " + std::to_string(standing) +
                                                        "; this one may have preceded it"});
       }));
--- a/src/object_store/declarations.hpp
+++ b/src/object_store/declarations.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Declaring objects: accepted only once the store's compare-and-set is known to stand.
+/// @file Writes objects to the store; a write counts as accepted only once its compare-and-set is confirmed.
 
 #include <functional>
 #include <map>
@@ -10,9 +10,9 @@
 
 namespace madderdeck::object_store {
 
-/// Rules of declaring; always on in the daemon.
+/// Safety rules for writes; always on in the daemon.
 struct DeclarationGuards {
-  bool settle_ambiguous = true;  ///< A lost answer is settled by reading back, not taken for success.
+  bool settle_ambiguous = true;  ///< Reads the object back after a lost reply, instead of assuming success.
 };
 
 /// Writes declared objects. Single threaded.
@@ -21,10 +21,10 @@
   Declarations(Environment& environment, Counters& counters, PlatformClient& platform, DeclarationGuards guards = {});
 
   using Done = PutDone;
-  /// Writes @p request, whose change_id is filled in here.
-  /// @p done gets the revision; ErrorKind::conflict with the revision that stands;
+  /// Writes @p request, whose change_id is set here.
+  /// @p done receives the new revision; ErrorKind::conflict with the current revision;
   /// ErrorKind::unavailable when nothing changed; ErrorKind::ambiguous when the outcome could
-  /// not be settled in time.
+  /// not be determined in time.
   void declare(PutRequest request, Done done);
 
  private:
@@ -38,7 +38,7 @@
 
   void try_put(ChangeNumber number);
   void read_back(ChangeNumber number);
-  /// Ends a change whose answer never comes.
+  /// Ends a change that got no reply.
   void end_unanswered(ChangeNumber number);
   void finish(ChangeNumber number, Result<std::uint64_t> result);
   void retry(ChangeNumber number, void (Declarations::*step)(ChangeNumber));
--- a/src/object_store/pending_changes.cpp
+++ b/src/object_store/pending_changes.cpp
@@ -5,14 +5,14 @@
 namespace madderdeck::object_store {
 namespace {
 
-/// A change is made within some round trips where its members can agree; then it is told.
+/// A change takes a few round trips when its members can agree; one that is pending for longer is logged.
 constexpr Duration kTellAfter = 3s;
-/// Those that rank first have looked and asked by then, and most changes are made.
+/// By then the maintainers have checked and proposed, and most changes are made.
 constexpr Duration kUndonePatience = 1s;
-/// Where members can agree they have within one turn, so that two proposers seldom meet.
+/// Members that can agree do so within one turn, so that two proposers seldom compete.
 constexpr Duration kTurn = 1s;
 constexpr Duration kMostPause = 80s;
-/// Of one look: a node that goes may be a member of hundreds of groups.
+/// Log lines per call: a node that leaves may be a member of hundreds of groups.
 constexpr unsigned kMostLines = 8;
 
 }  // namespace
--- a/src/object_store/pending_changes.hpp
+++ b/src/object_store/pending_changes.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Changes of replica groups that a controller sees wanted and not made.
+/// @file Changes of replica groups that are wanted in a controller's view and not made yet.
 
 #include <cstdint>
 #include <map>
@@ -13,40 +13,40 @@
 
 namespace madderdeck::object_store {
 
-/// Who makes changes of groups, as a controller sees it.
+/// The maintainers of the groups in a controller's view.
 struct change_makers {
-  std::string first;      ///< The nodes that rank first, with commas between.
-  std::int64_t rank = 0;  ///< Of this node; -1: it takes no new work.
+  std::string first;      ///< The nodes that rank first, separated by commas.
+  std::int64_t rank = 0;  ///< Of this node; -1: it accepts no new work.
 };
 
-/// Which turns of a node are its own at a change that stays undone.
+/// The turns in which a node may propose a change that stays pending.
 struct proposal_turns {
-  std::size_t first = 0;  ///< The number of its first one.
-  std::size_t cycle = 1;  ///< From one of its own to the next.
+  std::size_t first = 0;  ///< Number of the node's first turn.
+  std::size_t cycle = 1;  ///< Number of turns from one of the node's turns to the next.
 };
 
-/// Keeps since when each change has been wanted and what became of this node's own attempts at it, and tells operators
-/// of those that stay undone. Single threaded.
+/// Records since when each change has been wanted and the outcome of this node's attempts at it, and logs changes that
+/// stay pending. Single threaded.
 class pending_changes {
  public:
   pending_changes(Environment& environment, Counters& counters, DecisionLog& log)
       : environment_(environment), counters_(counters), log_(log) {}
 
-  /// The group is wanted to become what @p change says.
+  /// Records that @p change of the group is wanted.
   void note_wanted(std::uint32_t group, const ledger::epoch_change& change);
-  /// Nothing is to be changed about the group.
+  /// Records that no change of the group is wanted.
   void note_calm(std::uint32_t group) { pending_.erase(group); }
-  /// This node tries to have the change made.
+  /// Records that this node proposes the change.
   void note_attempt(std::uint32_t group);
-  /// What became of this node's attempt; nothing is kept where the group has moved on.
+  /// Records the error that ended this node's attempt; ignored if the change is not pending any more.
   void note_outcome(std::uint32_t group, const Error& why);
-  /// @return for how long the present change of the group has been wanted; zero where none is.
+  /// @return for how long the current change of the group has been wanted; zero if none is.
   Duration wanted_for(std::uint32_t group) const;
-  /// @return whether one of this node's @p turns at the group's change has begun that it has not taken yet; it has
-  /// taken
-  ///         it with that. The first turn of all begins when the change has stayed undone for a while.
+  /// Takes this node's turn to propose the group's change, if one of its @p turns has begun that it has not taken yet.
+  /// The first turn begins 1 s after the change became wanted.
+  /// @return whether it took a turn.
   bool take_turn(std::uint32_t group, const proposal_turns& turns);
-  /// Tells of those whose line is due, of a few at a time.
+  /// Logs the changes whose log line is due, a limited number at a time.
   void tell(const change_makers& makers);
 
  private:
@@ -56,7 +56,7 @@
     Timestamp since{};
     Timestamp tell_at{};
     Duration pause{};
-    unsigned attempts = 0;  ///< Of this node.
+    unsigned attempts = 0;  ///< By this node.
     Timestamp attempted_at{};
     std::size_t turns_taken = 0;
     std::string outcome = "none";
--- a/src/object_store/place_offers.cpp
+++ b/src/object_store/place_offers.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration kAskAgain = 200ms;
-/// A disk writes its consent before it answers: a slow one takes some syncs.
+/// A disk writes its consent before it replies, which can take several syncs on a slow disk.
 constexpr Duration kPatience = 1s;
-/// For so long after a refusal other disks are asked first.
+/// Time after a refusal during which other disks are preferred.
 constexpr Duration kDeclinedFor = 3s;
 
 }  // namespace
@@ -57,8 +57,8 @@
   if (environment_.now() - entry->second.began_at >= kPatience) {
     const open_offer open = std::move(open_.extract(entry).mapped());
     decline(open, "silent");
-    open.done(
-        Error{ErrorKind::unavailable, ledger::text_of(open.offer.disk) + " does not answer the offer of a place"});
+    open.done(Error{ErrorKind::unavailable,
+                    ledger::text_of(open.offer.disk) + " did not reply to the offer of a place in the group"});
     return;
   }
   send(entry->second);
@@ -70,7 +70,7 @@
   if (entry == open_.end() || entry->second.asked != sender || answer.consent == wire::PlaceConsent::NotAsked) {
     return;
   }
-  // A node of an earlier version answers the question without a word on the place: that it is there has to do.
+  // The reply of a node of an earlier version has no field for consent; that the node replies counts as consent.
   const bool says_nothing = answer.consent == wire::PlaceConsent::NotSaid;
   if (says_nothing || answer.place_epoch == entry->second.offer.epoch) {
     end(answer.group, answer.consent);
@@ -85,14 +85,14 @@
       open.done(Ok{});
       return;
     case wire::PlaceConsent::Given:
-    // That epoch has been decided: its members tell how.
+    // That epoch is already decided; its members report the result.
     case wire::PlaceConsent::EpochOver:
       open.done(Ok{});
       return;
     default:
       decline(open, ledger::name_of(answer));
       open.done(Error{ErrorKind::conflict,
-                      ledger::text_of(open.offer.disk) + " does not take a place: " + ledger::name_of(answer)});
+                      ledger::text_of(open.offer.disk) + " refused a place in the group: " + ledger::name_of(answer)});
       return;
   }
 }
--- a/src/object_store/platform_client.hpp
+++ b/src/object_store/platform_client.hpp
@@ -13,7 +13,7 @@
 
 namespace madderdeck::object_store {
 
-/// An object of the source that cannot be read; what was known of it before stands.
+/// An object of the source that cannot be parsed; its previous version stays in force.
 struct RejectedObject {
   config::EntryKey key;
   std::uint64_t revision = 0;
@@ -26,14 +26,14 @@
   std::uint64_t up_to = 0;
   std::vector<config::Entry> entries;
   std::vector<RejectedObject> rejected;
-  bool complete = false;  ///< The entries are all there are; what is not among them is gone.
+  bool complete = false;  ///< The list is complete; objects that are not in it do not exist.
 };
 using ChangesDone = std::function<void(Result<ChangeList>)>;
 
 /// An object as the store holds it.
 struct StoredObject {
   config::Entry entry;
-  std::string change_id;  ///< Given by whoever wrote this revision.
+  std::string change_id;  ///< Set by the writer of this revision.
 };
 using GetDone = std::function<void(Result<std::optional<StoredObject>>)>;
 
@@ -45,14 +45,14 @@
   std::uint64_t expected_revision = 0;  ///< 0: the object must not exist.
   std::string change_id;
 };
-/// New revision; ErrorKind::conflict when another revision stands; ErrorKind::ambiguous when
-/// no answer came back; ErrorKind::unavailable when nothing was sent.
+/// New revision; ErrorKind::conflict when another revision is current; ErrorKind::ambiguous when
+/// no reply arrived; ErrorKind::unavailable when nothing was sent.
 using PutDone = std::function<void(Result<std::uint64_t>)>;
 
-/// Body of the entry of a retirement that is completed.
+/// Body of the entry of a completed retirement (draining of a node's disk).
 inline constexpr char kCompletedRetirement[] = R"({"state":"completed"})";
 
-/// How far the emptying of a node is.
+/// Progress of the draining of a node.
 enum class RetirementState { running, completed };
 using ReportDone = std::function<void(Status)>;
 
@@ -67,17 +67,17 @@
   ///         among the objects.
   virtual bool has_group_source() const { return false; }
   virtual void watch_groups(std::uint64_t /*since*/, Duration /*wait*/, ChangesDone /*done*/) {}
-  /// @return whether operators ask through the platform for ledger nodes to be emptied.
+  /// @return whether operators can request through the platform that ledger nodes are drained.
   virtual bool has_retirements() const { return false; }
-  /// Waits up to @p wait for requests after @p since; the entries' names are nodes, and the body of one that is
-  /// completed is kCompletedRetirement.
+  /// Waits up to @p wait for requests after @p since; the names of the entries are node ids, and a completed request
+  /// has the body kCompletedRetirement.
   virtual void watch_retirements(std::uint64_t /*since*/, Duration /*wait*/, ChangesDone /*done*/) {}
-  /// @return whether operators ask through the platform for zones to be evacuated.
+  /// @return whether operators can request through the platform that zones are evacuated.
   virtual bool has_evacuations() const { return false; }
-  /// Waits up to @p wait for changes after @p since; an entry stands for as long as the zone of its name is to get no
+  /// Waits up to @p wait for changes after @p since; an entry exists while the zone that it names is to get no
   /// requests.
   virtual void watch_evacuations(std::uint64_t /*since*/, Duration /*wait*/, ChangesDone /*done*/) {}
-  /// Tells how far the emptying of @p node is.
+  /// Reports the progress of draining @p node.
   virtual void report_retirement(const NodeId& /*node*/, RetirementState /*state*/, ReportDone /*done*/) {}
   virtual void get(const config::EntryKey& key, GetDone done) = 0;
   virtual void put(const PutRequest& request, PutDone done) = 0;
--- a/src/object_store/proposal_journal.cpp
+++ b/src/object_store/proposal_journal.cpp
@@ -17,7 +17,7 @@
                                    const membership::Membership& members)
     : environment_(environment), counters_(counters), log_(log), members_(members) {
   for (const ledger::refusal_ground ground : ledger::kRefusalGrounds) {
-    counters_[counter_of(ground)] += 0;  // shown before the first one, so that its growth is seen
+    counters_[counter_of(ground)] += 0;  // exported from the start, so that the first increment is visible
   }
 }
 
--- a/src/object_store/proposal_journal.hpp
+++ b/src/object_store/proposal_journal.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Tells operators what became of each next epoch of a group that this node proposed: nothing is decided by it.
+/// @file Logs the outcome of each epoch of a group that this node proposed. For diagnosis only; no decision uses it.
 
 #include <cstdint>
 #include <map>
@@ -13,21 +13,21 @@
 
 namespace madderdeck::object_store {
 
-/// Writes one line a proposal and counts them by how they ended. Owned by one node, single threaded.
+/// Writes one log line per proposal and counts the proposals by outcome. Owned by one node, single threaded.
 class proposal_journal {
  public:
   proposal_journal(Environment& environment, Counters& counters, DecisionLog& log,
                    const membership::Membership& members);
 
-  /// This node proposes what @p asked says, by what it believes now.
+  /// Records that this node proposes @p asked, with its current view of the members.
   void note_proposed(std::uint32_t group, const ledger::epoch_change& asked);
-  /// The members have answered the proposal; its outcome follows.
+  /// Records the members' votes on the proposal; its outcome follows.
   void note_votes(std::uint32_t group, const ledger::decision_votes& votes);
-  /// The proposal has ended: with the description that stands, or why none was decided.
+  /// Logs the outcome of the proposal: the decided description, or why none was decided.
   void tell(std::uint32_t group, const ledger::epoch_change& asked, const Result<ledger::ReplicaGroup>& result);
-  /// The disk that was to become a member has refused, or not answered: the members were not asked.
+  /// Logs that the disk that was to become a member refused, or did not reply; the members were not asked.
   void tell_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why);
-  /// The store did not let one member decide alone: the members were not asked.
+  /// Logs that the store did not let one member decide alone; the members were not asked.
   void tell_not_let(std::uint32_t group, const ledger::epoch_change& asked, const Error& why);
 
  private:
--- a/src/object_store/retirement.cpp
+++ b/src/object_store/retirement.cpp
@@ -5,13 +5,13 @@
 
 namespace madderdeck::object_store {
 namespace {
-/// The store is asked by every ledger node, and each call has its price: as long as the store lets a watch wait,
-/// nearly.
+/// Every ledger node watches the store, and each call is billed: a little less than the longest wait that the store
+/// allows.
 constexpr Duration kWatchWait = 25s;
 constexpr Duration kStoreRetry = 300ms;
 constexpr Duration kCheckInterval = 200ms;
-constexpr Duration kTellPending = 2s;  ///< Between two lines on what is waited for.
-/// Whoever has offered this disk a place has it decided, and tells it, within that time, or is away.
+constexpr Duration kTellPending = 2s;  ///< Interval between log lines about pending groups.
+/// A proposer that offered this disk a place has the epoch decided and reported by then, unless it is down.
 constexpr Duration kOpenPlacePatience = 1s;
 }  // namespace
 
--- a/src/object_store/retirement.hpp
+++ b/src/object_store/retirement.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Empties this node's disk when an operator asks for it: the node leaves its replica groups,
-/// waits until all that it held stands elsewhere, and says so.
+/// @file Drains this node's disk when an operator requests it: the node leaves its replica groups,
+/// waits until other disks hold all of its records, and reports completion.
 
 #include <optional>
 #include <set>
@@ -17,28 +17,29 @@
 /// Runs on ledger nodes. Single threaded.
 class Retirement {
  public:
-  /// @param least_copies how many other disks have to hold each record before this one may go: as many disks as may be
-  ///        lost at once, and one more.
+  /// @param least_copies how many other disks have to hold each record before this disk may be removed: the number of
+  ///        disks that may be lost at once, plus one.
   Retirement(Environment& environment, Counters& counters, DecisionLog& log, membership::Membership& members,
              ledger::Replica& replica, ledger::Client& ledger, PlatformClient& platform, std::size_t least_copies);
 
   void start();
-  /// @return whether the emptying of @p node is completed, as the platform tells or as this node itself is; nothing
-  ///         where that is not known while the platform does not answer.
+  /// @return whether the draining of @p node is completed, as reported by the platform or known for this node itself;
+  ///         nothing if that is not known because the platform does not reply.
   std::optional<bool> is_emptied(const NodeId& node) const;
 
  private:
   void watch();
-  /// Takes which nodes were emptied.
+  /// Updates the set of drained nodes.
   void note_emptied(const config::Entry& entry);
   void begin();
   void check();
-  /// Nobody waits for the disk any more: says so once a restart would know it, too.
+  /// Reports completion, after persisting it so that it survives a restart; no group needs the disk any more.
   void complete();
-  /// Finds out whether epochs name this disk in which it has consented to take a place, where nobody tells it.
+  /// Determines whether epochs in which this disk consented to take a place name it, if no proposer reports that in
+  /// time.
   void settle_open_places(const std::vector<ledger::open_place>& open);
   void settle(const ledger::open_place& place);
-  /// Says, now and then, what the node waits for.
+  /// Logs from time to time which groups the node waits for.
   void tell_pending(const std::vector<ledger::pending_handover>& pending, std::size_t open_places);
   void report(RetirementState state);
 
@@ -54,11 +55,11 @@
   Timestamp told_pending_at_{};
   bool begun_ = false;
   bool completed_ = false;
-  bool asked_store_ = false;  ///< It has told whether this node is to be emptied.
+  bool asked_store_ = false;  ///< The store has reported whether this node is to be drained.
   std::map<ledger::open_place, Timestamp> open_since_;
-  std::set<std::uint32_t> settling_;  ///< Groups.
-  std::set<NodeId> emptied_;          ///< As the platform told.
-  bool told_lately_ = false;          ///< The platform answered the latest watch that has ended.
+  std::set<std::uint32_t> settling_;  ///< Groups with a settle request in progress.
+  std::set<NodeId> emptied_;          ///< Drained nodes, as reported by the platform.
+  bool told_lately_ = false;          ///< The latest finished watch succeeded.
   Lifetime lifetime_;
 };
 
--- a/src/object_store/sole_deciders.cpp
+++ b/src/object_store/sole_deciders.cpp
@@ -10,7 +10,7 @@
   return {kSoleDeciderKind, "group-" + std::to_string(group) + "-epoch-" + std::to_string(epoch)};
 }
 
-/// Beyond that an answer is not waited for: a client of the store tells of a failed call within it.
+/// Reply timeout; a client of the store reports a failed call within this time.
 constexpr Duration kAnswerTime = 4s;
 
 std::string name_of(const ledger::ReplicaIdentity& member) { return member.node.str() + " " + member.disk.str(); }
@@ -29,7 +29,7 @@
     if (succeeded(result)) {
       done(Ok{});
     } else if (error_of(result).kind == ErrorKind::conflict || error_of(result).kind == ErrorKind::ambiguous) {
-      // A decider is named already: by another node, or by an earlier request whose answer was lost.
+      // A decider is already named: by another node, or by an earlier request whose reply was lost.
       read_back(key, wanted, done);
     } else {
       done(error_of(result));
@@ -39,22 +39,22 @@
 }
 
 void sole_deciders::read_back(const config::EntryKey& key, const std::string& wanted, granted done) {
-  // Told once: by the answer, or by its absence.
+  // Runs the callback once: on the reply or on its timeout.
   const auto tell = [waiting = std::make_shared<granted>(std::move(done))](const Status& status) {
     if (const granted told = std::exchange(*waiting, nullptr)) {
       told(status);
     }
   };
   environment_.after(kAnswerTime, lifetime_.guard([tell] {
-    tell(Error{ErrorKind::unavailable, "the platform's store has not answered at all"});
+    tell(Error{ErrorKind::unavailable, "the platform's store did not reply"});
   }));
   const auto take = [wanted, done = tell](const Result<std::optional<StoredObject>>& result) {
     if (!succeeded(result)) {
       done(error_of(result));
     } else if (!value_of(result)) {
-      done(Error{ErrorKind::unavailable, "the store holds no decider yet"});
+      done(Error{ErrorKind::unavailable, "the store names no sole decider yet"});
     } else if (value_of(result)->entry.body != wanted) {
-      done(Error{ErrorKind::conflict, "the decider is " + value_of(result)->entry.body});
+      done(Error{ErrorKind::conflict, "the store names another sole decider: " + value_of(result)->entry.body});
     } else {
       done(Ok{});
     }
--- a/src/object_store/sole_deciders.hpp
+++ b/src/object_store/sole_deciders.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Lets the platform's store name the one member of a replica group that decides the next epoch alone.
+/// @file Has the platform's store name the one member of a replica group that may decide the next epoch alone.
 
 #include <functional>
 
@@ -10,22 +10,22 @@
 
 namespace madderdeck::object_store {
 
-/// Kind of the objects that name a sole decider; one for each group and epoch, never changed.
+/// Kind of the objects that name a sole decider; one per group and epoch, immutable.
 inline constexpr char kSoleDeciderKind[] = "sole-deciders";
 
-/// Of a group with two members neither is a majority. When one is gone, the other may decide the next epoch alone, but
-/// never both of them: the store grants it to one by creating an object that must not be there yet. All that such a
-/// group confirmed is held by both members. Every other decision needs both, so it passes the decider, too, and the two
-/// cannot disagree. Single threaded.
+/// In a group with two members neither is a majority. When one is lost, the other may decide the next epoch alone, but
+/// never both of them: the store grants that to one of them by creating an object that must not exist yet. Both members
+/// hold all records that such a group confirmed. Every other decision needs both members, including the sole decider,
+/// so the two kinds of decision cannot contradict each other. Single threaded.
 class sole_deciders {
  public:
-  /// Gets nothing when @p member is the decider; ErrorKind::conflict when another one is; ErrorKind::unavailable or
-  /// ErrorKind::ambiguous when the store does not tell. It may be asked again at any time.
+  /// Receives Ok if the requested member is the decider; ErrorKind::conflict if another one is; ErrorKind::unavailable
+  /// or ErrorKind::ambiguous if the outcome is not known. The request may be repeated at any time.
   using granted = std::function<void(Status)>;
 
   sole_deciders(Environment& environment, Declarations& declarations, PlatformClient& platform);
 
-  /// Asks that @p member decide who holds @p group after @p epoch.
+  /// Requests that @p member alone decides the epoch of @p group that follows @p epoch.
   void grant(std::uint32_t group, std::uint64_t epoch, const ledger::ReplicaIdentity& member, granted done);
 
  private:
--- a/src/object_store/stopping_handover.cpp
+++ b/src/object_store/stopping_handover.cpp
@@ -5,7 +5,7 @@
 namespace madderdeck::object_store {
 namespace {
 constexpr Duration kCheckInterval = 100ms;
-/// Whoever has offered the disk a place before it was told to stop has it decided by then.
+/// By then, a proposer that offered the disk a place before the stop request has the epoch decided.
 constexpr Duration kOpenPlacePatience = 1s;
 }  // namespace
 
--- a/src/object_store/stopping_handover.hpp
+++ b/src/object_store/stopping_handover.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Hands the records of a node that was told to stop over to disks that stay.
+/// @file Hands the records of a node that was requested to stop over to remaining disks.
 
 #include "common/counters.hpp"
 #include "common/decision_log.hpp"
@@ -8,17 +8,16 @@
 
 namespace madderdeck::object_store {
 
-/// Whoever looks after the replica groups gives the places of a node that stops to a spare disk. The node serves as a
-/// source of copies until as many disks hold its records as have to. Runs from the moment it was told to stop. Single
-/// threaded.
+/// The maintainers of the replica groups give the places of a stopping node to a spare disk. The node serves as a
+/// source of copies until enough other disks hold its records. Runs from the stop request on. Single threaded.
 class stopping_handover {
  public:
-  /// @param least_copies how many other disks have to hold each record before this one may go.
+  /// @param least_copies how many other disks have to hold each record before this node may stop.
   stopping_handover(Environment& environment, Counters& counters, DecisionLog& log, ledger::Replica& replica,
                     Controller& controller, ledger::ReplicaIdentity self, std::size_t least_copies);
 
   void start();
-  /// @return whether records of this node are still to be copied by others. Groups in which it keeps its place do not
+  /// @return whether other nodes still have to copy records of this node. Groups in which it keeps its place do not
   ///         count.
   bool is_pending() const { return groups_pending_ > 0; }
 
--- a/tests/object_store/replacement_test.cpp
+++ b/tests/object_store/replacement_test.cpp
@@ -335,7 +335,7 @@
                                  [](const auto& text) { return text.starts_with("group_changed "); });
   REQUIRE(line != fixture.log.lines.end());
   CHECK(has(*line, "outcome=conflict ground=candidate proposer=self"));
-  CHECK(has(*line, "b/disk-b2 does not take a place: retiring"));
+  CHECK(has(*line, "b/disk-b2 refused a place in the group: retiring"));
   CHECK(fixture.counters["ledger_epochs_refused_candidate_total"] > 0);
 }
 
