--- a/tests/object_store/declarations_test.cpp
+++ b/tests/object_store/declarations_test.cpp
@@ -10,7 +10,7 @@
 using madderdeck::tests::TestEnvironment;
 
 namespace {
-/// A store whose next answers can be lost or held back.
+/// A store whose next requests or replies can be lost.
 class FlakyStore : public PlatformClient {
  public:
   explicit FlakyStore(TestEnvironment& environment) : environment_(environment), table(environment) {}
@@ -59,7 +59,7 @@
 };
 }  // namespace
 
-TEST_CASE("a lost answer is settled by reading back") {
+TEST_CASE("the outcome of a write whose reply was lost is determined by reading back") {
   DeclarationFixture fixture;
   fixture.store.lose_answers = 1;
   const auto outcome = fixture.declare(0);
@@ -68,14 +68,14 @@
   CHECK(fixture.store.table.revision() == 1);
 }
 
-TEST_CASE("a lost request is sent again and takes effect once") {
+TEST_CASE("a write request that was lost is sent again and takes effect once") {
   DeclarationFixture fixture;
   fixture.store.lose_requests = 2;
   REQUIRE(succeeded(fixture.declare(0)));
   CHECK(fixture.store.table.revision() == 1);
 }
 
-TEST_CASE("the loser of a race learns what stands") {
+TEST_CASE("a write that loses a race reports the current revision") {
   DeclarationFixture fixture;
   REQUIRE(succeeded(fixture.declare(0)));
   const auto outcome = fixture.declare(0);
--- a/tests/object_store/departed_member_test.cpp
+++ b/tests/object_store/departed_member_test.cpp
@@ -1,4 +1,4 @@
-/// Disks that are emptied and taken away while others that look after the groups hear of it late, or in another order.
+/// Disks that are drained and removed while the maintainers of the groups learn of it late or in a different order.
 #include <catch2/catch.hpp>
 
 #include "support/departure_site.hpp"
@@ -8,24 +8,25 @@
 
 namespace {
 
-constexpr std::uint64_t kSeeds = 6;     ///< Of each order: departing disk, moments and network delays differ.
-constexpr Duration kWithheld = 1500ms;  ///< A member that is silent for that long is suspected, not yet dead.
-constexpr Duration kGoneWithin = 1s;    ///< After a node says that its disk is emptied.
+constexpr std::uint64_t kSeeds =
+    6;  ///< Per order of events; the seed varies the departing disk, the times and the network delays.
+constexpr Duration kWithheld = 1500ms;  ///< A member that is unresponsive for this long is suspected, but not yet dead.
+constexpr Duration kGoneWithin = 1s;    ///< Time until removal after a node reports that its disk is drained.
 constexpr Duration kSoon = 100ms;
-constexpr Duration kSomeLooks = 500ms;  ///< A node looks every 200 ms whether its disk is emptied.
-constexpr Duration kLostWithin = 5s;    ///< The next disk, after that.
-constexpr Duration kForgotten = 20s;    ///< Epochs list no former member by then.
+constexpr Duration kSomeLooks = 500ms;  ///< A node checks every 200 ms whether its disk is drained.
+constexpr Duration kLostWithin = 5s;    ///< Time until the loss of the next disk after that.
+constexpr Duration kForgotten = 20s;    ///< Time after which epochs list no former member any more.
 
 Duration drawn(departure_site& site, Duration most) {
   return Duration(static_cast<Duration::rep>(site.world.random.below(static_cast<std::uint64_t>(most.count()))));
 }
 
-/// @return another of the first three nodes, which have a disk.
+/// @return another one of the first three nodes, which have disks.
 unsigned another(departure_site& site, unsigned disk) {
   return (disk + 1 + static_cast<unsigned>(site.world.random.below(2))) % 3;
 }
 
-/// Plays @p order with several seeds and checks each.
+/// Runs @p order with several seeds and checks each run.
 void play(departure_site::shape shape, const std::function<void(departure_site&)>& order) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     shape.seed = seed;
@@ -41,35 +42,35 @@
 
 unsigned departing_disk(departure_site& site) { return static_cast<unsigned>(site.world.random.below(3)); }
 
-/// Waits until @p disk says that it is emptied, and takes it away.
+/// Waits until @p disk reports that it is drained, and removes it.
 void empty_and_depart(departure_site& site, unsigned disk) {
   REQUIRE(site.wait_until([&] { return site.said_completed(disk); }));
   site.wait(drawn(site, kGoneWithin));
   site.depart(disk);
 }
 
-/// The next disk is lost some time after the departure; at the worst moment where an epoch names the departed one.
+/// Loses the next disk some time after the departure; if an epoch names the departed disk again, right then.
 void lose_another(departure_site& site, unsigned departed) {
   site.wait_until([&] { return site.is_member(departed); }, drawn(site, kLostWithin));
   site.wait(drawn(site, kSoon));
   site.lose_disk(another(site, departed));
 }
 
-/// Lets others act for as long as word is late.
+/// Lets other nodes act while messages are withheld.
 void wait_for_late_word(departure_site& site, unsigned departed) {
   site.wait_until([&] { return site.is_member(departed); }, kWithheld);
 }
 
-/// How a controller that looks after the groups hears less than others for a while.
+/// Ways in which a maintainer of the groups receives less than other nodes for a while.
 enum class disturbance { none, word_late, epochs_late, turned_away, cut_off, frozen, backlog, started_anew };
 constexpr std::size_t kDisturbances = 8;
 
-/// Orders of events that a seed draws.
+/// A departure with an order of events drawn from a seed.
 class drawn_departure {
  public:
   explicit drawn_departure(std::uint64_t seed) : random_(seed), site_(shape_of(seed)) {}
 
-  /// @return the site after the departure, judged.
+  /// @return the site after the departure, with its faults evaluated.
   departure_site& play() {
     site_.found();
     add_disks();
@@ -84,7 +85,7 @@
       site_.wait(draw(kGoneWithin));
       site_.depart(departing_);
     }
-    if (random_.chance(50)) {  // otherwise the next disk is lost while some are disturbed still
+    if (random_.chance(50)) {  // otherwise the next disk is lost during disturbances
       site_.wait_until([this] { return ended_ == begun_; });
     }
     site_.wait_until([this] { return site_.is_member(departing_); }, draw(kLostWithin));
@@ -126,7 +127,7 @@
     std::erase(disks_, lost_);
   }
 
-  /// One of three disks that stay may be silent for a while, besides the one that is lost.
+  /// One of three remaining disks may be frozen for a while, in addition to the one that is lost.
   void freeze_member() {
     if (disks_.size() > 1 && random_.chance(40)) {
       const unsigned member = disks_[random_.below(disks_.size())];
@@ -144,7 +145,7 @@
     });
   }
 
-  /// What ends with word of the departing disk still on its way for a while.
+  /// Ends a disturbance, after which messages about the departing disk may stay in transit for a while.
   void end_with_late_word(unsigned node, Duration time, std::function<void()> end) {
     const Duration late = random_.chance(50) ? draw(kWithheld) : 0ms;
     end_after(time, [this, node, end = std::move(end)] {
@@ -158,7 +159,7 @@
     const Duration brief = draw(kWithheld);
     const Duration lasting = random_.chance(50) ? brief : 2s + draw(18s);
     const auto drawn = static_cast<disturbance>(random_.below(kDisturbances));
-    // A member that is away as well as the lost one is more than a group bears.
+    // A group does not tolerate a further unavailable member in addition to the lost one.
     const bool has_disk = site_.fleet.nodes[node]->has_disk;
     if (node == departing_) {
       return;
@@ -171,7 +172,7 @@
         end_after(lasting, [this, node] { site_.fleet.conditions.platform_cuts.erase(node); });
         [[fallthrough]];
       case disturbance::word_late: {
-        // From when the disk is to be emptied on, nearly: the word that a node lives is not late for longer.
+        // Starts close to the start of the draining: messages that show a node alive are not delayed for longer.
         end_after(draw(2s), [this, node] { site_.withhold_word(node, departing_); });
         end_after(2s + brief, [this, node] { site_.tell_words(node); });
         return;
@@ -210,17 +211,18 @@
   simulation::Random random_;
   bool four_disks_ = false;
   departure_site site_;
-  std::vector<unsigned> disks_;  ///< That stay and nothing happens to.
+  std::vector<unsigned> disks_;  ///< Disks that stay undisturbed.
   unsigned departing_ = 0;
   unsigned lost_ = 0;
-  unsigned begun_ = 0;  ///< Disturbances.
+  unsigned begun_ = 0;  ///< Disturbances that began.
   unsigned ended_ = 0;
 };
 
 }  // namespace
 
-// The order of events of jobs that could not be read: the maintainer put the leaving disk in again.
-TEST_CASE("a maintainer that hears of the epoch before it hears who leaves does not name the emptied disk again") {
+// The maintainer added the leaving disk to its group again, after which jobs could not be read.
+TEST_CASE(
+    "a maintainer that receives the epoch before it learns which node leaves does not name the drained disk again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -233,7 +235,8 @@
   });
 }
 
-TEST_CASE("a maintainer that hears who leaves before it hears of the epoch does not name the emptied disk again") {
+TEST_CASE(
+    "a maintainer that learns which node leaves before it receives the epoch does not name the drained disk again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -246,8 +249,8 @@
   });
 }
 
-// It is turned away by the store, too, so that only the group's members tell it of the epoch.
-TEST_CASE("a maintainer that the store turns away does not name a disk that it has not heard is emptied") {
+// The store also refuses the maintainer's requests, so that it receives the epoch only from the group's members.
+TEST_CASE("a maintainer that the store refuses does not name a disk that is drained without its knowledge") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -261,7 +264,7 @@
   });
 }
 
-TEST_CASE("a maintainer that was cut off while a disk was emptied does not name it again") {
+TEST_CASE("a maintainer that was partitioned while a disk was drained does not name it again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -276,7 +279,7 @@
   });
 }
 
-TEST_CASE("a maintainer that thaws right after an emptied disk has gone does not name it again") {
+TEST_CASE("a maintainer that thaws right after a drained disk was removed does not name it again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -292,8 +295,8 @@
   });
 }
 
-// Nothing is lost: it hears of all in the order in which it was sent.
-TEST_CASE("a maintainer that thaws with all that was sent meanwhile does not name an emptied disk again") {
+// No message is lost: the maintainer receives all of them in the order in which they were sent.
+TEST_CASE("a maintainer that thaws and receives all messages sent meanwhile does not name a drained disk again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -306,8 +309,8 @@
   });
 }
 
-// No epoch lists the departed disk any more, so that nothing tells the maintainer that it has left.
-TEST_CASE("a maintainer that thaws when no epoch lists the emptied disk any more does not name it again") {
+// No epoch lists the departed disk any more, so that the maintainer cannot learn from epochs that it has left.
+TEST_CASE("a maintainer that thaws when no epoch lists the drained disk any more does not name it again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -323,8 +326,8 @@
   });
 }
 
-// The same without any message withheld: what came while it was frozen is lost, all else arrives.
-TEST_CASE("a maintainer that thaws long after an emptied disk has gone does not name it again") {
+// The same without withheld messages: those that arrived while the maintainer was frozen are lost, all others arrive.
+TEST_CASE("a maintainer that thaws long after a drained disk was removed does not name it again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -337,8 +340,8 @@
   });
 }
 
-// Its peer was frozen all the time and tells what it knew before. It is cut off from all others still.
-TEST_CASE("a maintainer that starts with the members of a peer that is behind does not name the emptied disk again") {
+// The peer was frozen all the time and sends its old list of members. The maintainer is partitioned from all others.
+TEST_CASE("a maintainer that starts with the outdated member list of a peer does not name the drained disk again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const auto maintainers = site.maintainers();
@@ -367,8 +370,8 @@
   });
 }
 
-// A second disk to be emptied cannot go before somebody has joined: the maintainer takes the departed one for that.
-TEST_CASE("a maintainer that wants another member to leave does not take the emptied disk up again for it") {
+// A second draining disk cannot leave before another disk has joined; the maintainer could choose the departed one.
+TEST_CASE("a maintainer that wants another member to leave does not add the drained disk again for it") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -383,8 +386,8 @@
   });
 }
 
-// The other member of the pair is silent, and the departed disk is taken for one that has come back.
-TEST_CASE("a maintainer that misses a member does not take the emptied disk up again in its place") {
+// The other member of the pair is unresponsive, and the departed disk appears to have come back.
+TEST_CASE("a maintainer that misses a member does not add the drained disk again in its place") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned silent = another(site, disk);
@@ -399,8 +402,8 @@
   });
 }
 
-// All have heard of everything: the emptied disk seems to be there still when the other member of the pair is missed.
-TEST_CASE("a pair whose other member is silent does not take the emptied disk up again") {
+// All nodes are up to date: the drained disk still appears present when the other member of the pair is missing.
+TEST_CASE("a pair whose other member is unresponsive does not add the drained disk again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned silent = another(site, disk);
@@ -413,8 +416,8 @@
   });
 }
 
-// A maintainer that does not know the successor takes it for missing, and the departed disk for its substitute.
-TEST_CASE("a maintainer that thaws and knows no successor does not give its place to the emptied disk") {
+// A maintainer that does not know the successor treats it as missing, and the departed disk as its replacement.
+TEST_CASE("a maintainer that thaws and does not know the successor does not give its place to the drained disk") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned late = site.maintainers().at(site.world.random.below(2));
@@ -433,8 +436,8 @@
   });
 }
 
-// The spare disk was never a member, so that it says at once that it is emptied.
-TEST_CASE("a spare disk that is emptied does not take the place of a member that is to be emptied, too") {
+// The spare disk was never a member, so that it reports at once that it is drained.
+TEST_CASE("a drained spare disk does not take the place of a member that is draining, too") {
   play({}, [](departure_site& site) {
     const unsigned spare = site.add_spare();
     const unsigned disk = departing_disk(site);
@@ -454,8 +457,8 @@
   });
 }
 
-// All three held what was confirmed; the frozen one is back in the end.
-TEST_CASE("a spare disk that is emptied does not take the place of a silent member") {
+// All three members hold the confirmed records; the frozen one is back in the end.
+TEST_CASE("a drained spare disk does not take the place of an unresponsive member") {
   play({}, [](departure_site& site) {
     const unsigned spare = site.add_spare();
     const unsigned silent = departing_disk(site);
@@ -474,7 +477,7 @@
   });
 }
 
-/// A spare disk is asked to be emptied while the members' votes on an epoch that names it are on their way.
+/// Requests draining of a spare disk while the members' votes on an epoch that names it are in transit.
 void empty_spare_beside_decision(departure_site& site) {
   const unsigned spare = site.add_spare();
   const unsigned disk = departing_disk(site);
@@ -500,13 +503,13 @@
   lose_another(site, disk);
 }
 
-// No view is old: the disk says that it is emptied between the question to the members and their votes.
-TEST_CASE("a spare disk does not say that it is emptied while a decision that names it is under way") {
+// No view is outdated: the disk would report that it is drained between the request to the members and their votes.
+TEST_CASE("a spare disk does not report that it is drained while a decision that names it is pending") {
   play({}, empty_spare_beside_decision);
 }
 
-// Without that rule the order above does name an emptied disk.
-TEST_CASE("a disk that is emptied beside its undecided consent is named after it") {
+// Without that rule the order above leads to an epoch that names a drained disk.
+TEST_CASE("a disk that is drained despite an open consent is named by an epoch afterwards") {
   departure_site::shape shape;
   shape.guards.replica.open_places_hold = false;
   departure_site site(shape);
@@ -517,8 +520,9 @@
   CHECK(site.faults().contains(departure_fault::named_after_completed));
 }
 
-// The last copy that it waits for is told just as the other two decide to take it up again beside a silent one.
-TEST_CASE("a leaving disk does not say that it is emptied while a decision takes it up again") {
+// The last copy that the disk waits for is confirmed while the other two, missing an unresponsive member, decide to add
+// it again.
+TEST_CASE("a leaving disk does not report that it is drained while a decision adds it again") {
   play({}, [](departure_site& site) {
     const unsigned disk = departing_disk(site);
     const unsigned silent = another(site, disk);
@@ -535,7 +539,7 @@
       return (from == stays && message.type == wire::Message::CopyStatus) || !of_members;
     });
     site.wait_until([&] { return site.is_member(disk); }, 10s);
-    // The epoch that takes it up again is still on its way.
+    // The epoch that adds the disk again is still in transit.
     site.release(disk, [](const wire::MessageUnion& message) { return message.type == wire::Message::CopyStatus; });
     site.wait(kSomeLooks);
     site.release(disk);
@@ -547,7 +551,7 @@
   });
 }
 
-TEST_CASE("no drawn order of events around a departure leaves a group with a disk that is gone for good") {
+TEST_CASE("no drawn order of events around a departure leaves a group with a disk that is permanently gone") {
   constexpr std::uint64_t kSchedules = 300;
   std::map<departure_fault, unsigned> schedules_with;
   std::string broken;
--- a/tests/object_store/feed_tree_test.cpp
+++ b/tests/object_store/feed_tree_test.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-TEST_CASE("every node of a large fleet that reads nothing is told by one other, whatever the size") {
+TEST_CASE("every node of a large fleet that does not read the store is fed by another one, at any fleet size") {
   for (const unsigned count : {60U, 300U}) {
     std::map<std::string, unsigned> told;
     unsigned readers = 0;
@@ -67,14 +67,14 @@
     CHECK(told.size() == count);
     for (const auto& [address, times] : told) {
       CHECK(times >= 1);
-      CHECK(times <= kSizes.readers);  // relays hear from each reader
+      CHECK(times <= kSizes.readers);  // each reader feeds the relays
     }
-    // Half of a zone each, and the relays of the other zones; a zone with one reader has that one for all.
+    // A relay feeds half of its zone, a reader also the relays of other zones; a single reader feeds its whole zone.
     CHECK(most_fed <= count / kZones + kZones * kSizes.relays);
   }
 }
 
-TEST_CASE("ranks count those that come before") {
+TEST_CASE("a rank is the number of controllers that rank before the node") {
   constexpr unsigned kCount = 40;
   std::set<std::size_t> ranks;
   for (unsigned self = 0; self < kCount; ++self) {
@@ -84,7 +84,7 @@
   CHECK(*ranks.rbegin() == kCount - 1);
 }
 
-TEST_CASE("a node that leaves reads and maintains nothing any more") {
+TEST_CASE("a leaving node is neither a reader nor a maintainer") {
   view one(0, 4);
   CHECK(one.feeds.all_read());
   one.members.leave();
--- a/tests/object_store/pending_changes_test.cpp
+++ b/tests/object_store/pending_changes_test.cpp
@@ -1,4 +1,4 @@
-/// Operators hear of changes of groups that are wanted and not made.
+/// Changes of groups that are wanted and not made are logged.
 #include "object_store/pending_changes.hpp"
 
 #include <catch2/catch.hpp>
@@ -34,7 +34,8 @@
 
 }  // namespace
 
-TEST_CASE("a change that stays undone is told after a while, with this node's attempts, and then with growing pauses") {
+TEST_CASE(
+    "a change that stays pending is logged after a delay, with this node's attempts, and then at growing intervals") {
   pending_fixture fixture;
   fixture.changes.note_wanted(2, change_to(5));
   fixture.run_for(2500ms);
@@ -55,7 +56,7 @@
   CHECK(fixture.log.lines.size() <= 13);
 }
 
-TEST_CASE("a change that is made, or wanted at another epoch, begins anew") {
+TEST_CASE("the record of a change is reset when it is made or wanted at another epoch") {
   pending_fixture fixture;
   fixture.changes.note_wanted(2, change_to(5));
   fixture.run_for(4s);
@@ -69,7 +70,7 @@
   CHECK(fixture.counters["ledger_group_changes_pending"] == 0);
 }
 
-TEST_CASE("many changes that stay undone are told some at a time") {
+TEST_CASE("many changes that stay pending are logged a few at a time") {
   pending_fixture fixture;
   for (std::uint32_t group = 0; group < 100; ++group) {
     fixture.changes.note_wanted(group, change_to(5));
@@ -79,7 +80,7 @@
   CHECK(fixture.counters["ledger_group_changes_pending"] == 100);
 }
 
-TEST_CASE("proposers of a change that stays undone take turns, members first, and each one of its own once") {
+TEST_CASE("proposers of a change that stays pending take turns, members first, and each takes each of its turns once") {
   pending_fixture fixture;
   fixture.changes.note_wanted(0, change_to(5));
   const proposal_turns second_member{1, 4};
@@ -103,7 +104,7 @@
   CHECK(others == std::vector<int>{5, 15, 25});
 }
 
-TEST_CASE("a turn that passed while a node did not look is taken late, and once") {
+TEST_CASE("a turn that passed while a node made no check is taken late, and only once") {
   pending_fixture fixture;
   fixture.changes.note_wanted(0, change_to(5));
   fixture.environment.world.run_for(60s);
--- a/tests/object_store/place_offers_test.cpp
+++ b/tests/object_store/place_offers_test.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST_CASE("a place is taken by the disk's own word for that epoch alone") {
+TEST_CASE("a place is accepted only by the disk's own reply for that epoch") {
   proposer node;
   node.ask();
   node.answer(PlaceConsent::Given, kEpoch - 1);
@@ -57,7 +57,7 @@
   CHECK_FALSE(node.offers.is_declined(kDisk));
 }
 
-TEST_CASE("a disk that refuses a place is passed over for a while") {
+TEST_CASE("a disk that refuses a place is avoided for a while") {
   proposer node;
   node.ask();
   node.answer(PlaceConsent::Retiring);
@@ -69,7 +69,7 @@
   CHECK(node.counters["replica_places_declined_retiring_total"] == 1);
 }
 
-TEST_CASE("a disk that is gone does not take a place, however it is believed to be there") {
+TEST_CASE("a disk that is gone does not accept a place although the proposer considers it present") {
   proposer node;
   node.ask();
   node.environment.world.run_for(2s);
@@ -79,7 +79,7 @@
   CHECK(node.offers.is_declined(kDisk));
 }
 
-TEST_CASE("a node without an address does not take a place") {
+TEST_CASE("a node without an address does not accept a place") {
   proposer node;
   node.address.reset();
   node.ask();
@@ -88,14 +88,14 @@
   CHECK(error_of(*node.outcome).kind == ErrorKind::unavailable);
 }
 
-TEST_CASE("an epoch that is over is left to its members to tell of") {
+TEST_CASE("an offer for an epoch that is over succeeds, as its members report the outcome") {
   proposer node;
   node.ask();
   node.answer(PlaceConsent::EpochOver);
   CHECK(node.accepted());
 }
 
-TEST_CASE("a node of an earlier version takes a place by being there") {
+TEST_CASE("a node of an earlier version accepts a place by replying") {
   proposer node;
   node.ask();
   node.answer(PlaceConsent::NotSaid, 0);
--- a/tests/object_store/proposer_view_test.cpp
+++ b/tests/object_store/proposer_view_test.cpp
@@ -1,4 +1,4 @@
-/// What a proposer believed of the members when it proposed a group's next epoch.
+/// A proposer's view of the members at the time when it proposes a group's next epoch.
 #include <catch2/catch.hpp>
 
 #include "object_store/proposer_view.hpp"
@@ -24,7 +24,7 @@
   return member;
 }
 
-/// What node "a" hears of the others.
+/// Delivers messages about other members to node "a".
 class fixture {
  public:
   fixture() {
@@ -33,13 +33,13 @@
     members =
         std::make_unique<membership::Membership>(environment, counters, member("a"), std::vector<PeerAddress>{}, hooks);
   }
-  /// The member itself writes.
+  /// Delivers a message from the member itself.
   void hear(const wire::MemberT& sender) {
     wire::PingT ping;
     ping.sender = std::make_unique<wire::MemberT>(sender);
     members->handle(PeerAddress(sender.peer_address), ping);
   }
-  /// Another node says so.
+  /// Delivers a report about the member from another node.
   void be_told(const wire::MemberT& about) {
     wire::MemberSyncT sync;
     sync.members.push_back(std::make_unique<wire::MemberT>(about));
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("a proposer's view tells of each disk that is named how its node is taken to stand and how old that is") {
+TEST_CASE("a proposer's view has the state of the node of each named disk and the age of that information") {
   fixture node;
   node.hear(member("b"));
   node.environment.world.run_for(80ms);
@@ -69,7 +69,7 @@
   CHECK(*view.age() == 120ms);
 }
 
-TEST_CASE("a proposer's view tells a belief that others have passed on from a member's own word") {
+TEST_CASE("a proposer's view distinguishes information from other nodes from a member's own messages") {
   fixture node;
   node.be_told(member("b"));
   node.environment.world.run_for(70ms);
@@ -82,13 +82,13 @@
   dead.retiring = true;
   node.be_told(dead);
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b dead retiring 0ms by others");
-  // Its own word does not take back what is believed before it has refuted that, but the age shows that it is there.
+  // A message of the member does not change its state before it refutes that state, but the age shows that it is alive.
   node.environment.world.run_for(90ms);
   node.hear(member("b"));
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b dead retiring 0ms");
 }
 
-TEST_CASE("a proposer's view names the disk that a node runs with in place of the one that is named") {
+TEST_CASE("a proposer's view names the disk that a node has instead of the named one") {
   fixture node;
   wire::MemberT other = member("b");
   other.disk_id = "disk-b2";
@@ -96,7 +96,7 @@
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b alive with disk-b2 0ms");
 }
 
-TEST_CASE("a proposer's view that names a node which it does not know has no age") {
+TEST_CASE("a proposer's view with an unknown node has no age") {
   fixture node;
   node.hear(member("b"));
   const proposer_view view = node.view({3, {kB, kC}, {}});
--- a/tests/object_store/replacement_test.cpp
+++ b/tests/object_store/replacement_test.cpp
@@ -1,4 +1,4 @@
-/// Which change of a replica group its maintainer lets the members decide.
+/// Which change of a replica group its maintainer proposes to the members.
 #include <catch2/catch.hpp>
 
 #include "node/node_core.hpp"
@@ -19,7 +19,7 @@
 const ReplicaIdentity kNewB{NodeId("b"), DiskId("disk-b2")};
 const ReplicaIdentity kC{NodeId("c"), DiskId("disk-c")};
 
-/// A store that is away: what is decided here needs none.
+/// An unavailable store; the decisions in these tests do not need it.
 class store_away : public object_store::PlatformClient {
  public:
   void watch_objects(std::uint64_t, Duration, object_store::ChangesDone done) override { refuse(done); }
@@ -50,7 +50,7 @@
     options.controller.founding_wait = Duration::zero();
     options.controller.group_check = 100ms;
     options.controller.replicas = 3;
-    options.membership.period = 1h;  // the test answers no probes
+    options.membership.period = 1h;  // the test does not reply to probes
     return options;
   }
   void add(const ReplicaIdentity& identity, bool retiring = false) {
@@ -68,7 +68,7 @@
     incoming.body.Set(std::move(*sync));
     core.handle(incoming);
   }
-  /// Controllers that look after the groups before this node does.
+  /// Adds controllers that rank before this node and so maintain the groups.
   void add_maintainers() {
     auto sync = std::make_unique<wire::MemberSyncT>();
     const std::uint64_t own = rendezvous_weight("store-reader", "self");
@@ -88,7 +88,7 @@
     incoming.body.Set(std::move(*sync));
     core.handle(incoming);
   }
-  /// Speaks for a disk that is offered a place: those that are to leave do not take one.
+  /// Replies for a disk that is offered a place; disks that are to leave refuse.
   void answer_offer(const PeerAddress& to, const wire::CopyStatusRequestT& request) {
     if (!request.offered) {
       return;
@@ -99,7 +99,7 @@
     status.consent = leaves.contains(request.offered->node) ? wire::PlaceConsent::Retiring : wire::PlaceConsent::Given;
     core.controller->handle(to, status);
   }
-  /// Disks take the places that they are offered; no member votes.
+  /// Runs while disks accept the places that they are offered and no member votes.
   void run_with_places_taken(Duration time) {
     for (Duration passed{}; passed < time; passed += 50ms) {
       environment.world.run_for(50ms);
@@ -110,7 +110,7 @@
       }
     }
   }
-  /// Speaks for the members with a disk that stayed, which hold no decision yet, and for disks that are offered places.
+  /// Replies for the members whose disks stayed, which have no decision yet, and for disks that are offered places.
   void answer() {
     const std::map<std::string, std::uint32_t> numbers = {{"a:1", 0}, {"c:1", c_number}};
     for (const auto& message : std::exchange(environment.sent, {})) {
@@ -136,7 +136,7 @@
       }
     }
   }
-  /// @return the group once its members had the time to decide.
+  /// @return the group after its members had time to decide.
   ReplicaGroup after_a_while() {
     const auto& groups = core.ledger.group_map().groups;
     for (int step = 0; step < 20 && groups.at(0).epoch == kEpoch; ++step) {
@@ -153,8 +153,8 @@
     }
   }
 
-  std::uint32_t c_number = 2;    ///< Of member c in its group.
-  std::set<std::string> leaves;  ///< Nodes that are to be emptied, as they alone know.
+  std::uint32_t c_number = 2;    ///< Index of member c in its group.
+  std::set<std::string> leaves;  ///< Nodes that are to be drained, which only they know.
   TestEnvironment environment;
   Counters counters;
   FakeBackends backends;
@@ -173,10 +173,10 @@
   CHECK(fixture.after_a_while() == ReplicaGroup{kEpoch + 1, {kA, kNewB, kC}, {}});
 }
 
-// Fleet runner, --faults=losses: a node that had lost its disk was asked to leave before its new disk was in its
-// groups. Nobody else could take its place, and they counted on the lost disk for good: the next lost disk left one
-// member of three.
-TEST_CASE("a lost disk whose node is to leave gives its place up where there is no other node") {
+// A node that had lost its disk was requested to leave before its new disk was in its groups (fleet runner,
+// --faults=losses). No other node could replace it, and the groups kept the lost disk as a member: after the next lost
+// disk, one member of three was left.
+TEST_CASE("a lost disk whose node is to leave is removed from its group where there is no other node") {
   maintainer_fixture fixture;
   fixture.add(kA);
   fixture.add(kNewB, true);
@@ -194,9 +194,10 @@
   CHECK(fixture.after_a_while() == ReplicaGroup{kEpoch + 1, {kA, d, kC}, {}});
 }
 
-// Fleet runner, --faults=losses, seed 221: a member had left its group of three for good; a gateway that had not heard
-// yet that it was to leave took it up again as the third one, and the next lost disk left one member of three.
-TEST_CASE("a member that leaves its group is not taken up again by a maintainer that has not heard why") {
+// A member had permanently left its group of three; a gateway that did not know yet that it was to leave added it again
+// as the third member, and after the next lost disk one member of three was left (fleet runner, --faults=losses, seed
+// 221).
+TEST_CASE("a member that leaves its group is not added again by a maintainer that does not know why it left") {
   maintainer_fixture fixture({kEpoch, {kA, kC}, {kNewB}});
   fixture.c_number = 1;
   fixture.add(kA);
@@ -205,9 +206,9 @@
   CHECK(fixture.after_a_while().epoch == kEpoch);
 }
 
-// A maintainer that thaws, or starts with an old list of members, knows neither that a disk is to be emptied nor that
-// an earlier epoch has let it go.
-TEST_CASE("a disk that is to be emptied is not named by a maintainer that nobody has told") {
+// A maintainer that thaws, or starts with an outdated list of members, knows neither that a disk is to be drained nor
+// that an earlier epoch removed it.
+TEST_CASE("a disk that is to be drained is not named by a maintainer that does not know of it") {
   maintainer_fixture fixture({kEpoch, {kA, kC}, {}});
   fixture.c_number = 1;
   fixture.leaves = {kNewB.node.str()};
@@ -217,7 +218,7 @@
   CHECK(fixture.after_a_while().epoch == kEpoch);
 }
 
-TEST_CASE("another node is asked where one does not take the place of a lost disk") {
+TEST_CASE("another node is asked if one refuses the place of a lost disk") {
   const ReplicaIdentity d{NodeId("d"), DiskId("disk-d")};
   maintainer_fixture fixture({kEpoch, {kA, kC}, {}});
   fixture.c_number = 1;
@@ -240,7 +241,7 @@
   CHECK(fixture.after_a_while().replicas == std::vector<ReplicaIdentity>{kA, kC, d});
 }
 
-TEST_CASE("a controller that is not to make a change tells that it is wanted and not made") {
+TEST_CASE("a controller that is not to make a change logs that it is wanted and not made") {
   maintainer_fixture fixture;
   fixture.add(kA);
   fixture.add(kNewB);
@@ -254,7 +255,7 @@
   CHECK(line->find("rank=2 makers=maintainer-") != std::string::npos);
 }
 
-TEST_CASE("a lost disk is replaced by a controller that does not rank first when nobody else does it") {
+TEST_CASE("a lost disk is replaced by a controller that does not rank first if no other one does it") {
   maintainer_fixture fixture;
   fixture.add(kA);
   fixture.add(kNewB);
@@ -266,7 +267,7 @@
   CHECK(fixture.log.count("group_change_taken_up") == 1);
 }
 
-TEST_CASE("a silent member is not given up on the word of a controller that neither ranks first nor is a member") {
+TEST_CASE("an unresponsive member is not given up by a controller that neither ranks first nor is a member") {
   const ReplicaIdentity d{NodeId("d"), DiskId("disk-d")};
   maintainer_fixture fixture;
   fixture.add(kA);
@@ -281,7 +282,7 @@
 
 namespace {
 
-/// @return the line of that event, of which there is to be one.
+/// @return the only log line of that event.
 std::string only_line_of(const kept_lines& log, const std::string& event) {
   REQUIRE(log.count(event) == 1);
   return *std::find_if(log.lines.begin(), log.lines.end(),
@@ -292,9 +293,10 @@
 
 }  // namespace
 
-// Four groups lost their majority for good, and no line told which members an epoch named, who had proposed it and on
-// what view of the members.
-TEST_CASE("a decided epoch tells its members, its proposer, the view that decided it and who granted") {
+// Four groups permanently lost their majority, and no log line showed which members an epoch named, which node had
+// proposed it and with which view of the members.
+TEST_CASE(
+    "a decided epoch is logged with its members, its proposer, the proposer's view and the members that granted it") {
   maintainer_fixture fixture;
   fixture.add(kA);
   fixture.add(kNewB);
@@ -310,7 +312,7 @@
   CHECK(fixture.counters["ledger_epochs_decided_total"] == 1);
 }
 
-TEST_CASE("a refused epoch tells who refused it on what ground, and is counted by it") {
+TEST_CASE("a refused epoch is logged with the refusing members and the reason, and counted by reason") {
   maintainer_fixture fixture;
   fixture.add(kA);
   fixture.add(kNewB);
@@ -324,7 +326,7 @@
   CHECK(fixture.counters["ledger_epochs_decided_total"] == 0);
 }
 
-TEST_CASE("an epoch whose new member does not consent is told as refused by that disk") {
+TEST_CASE("an epoch whose new member does not consent is logged as refused by that disk") {
   maintainer_fixture fixture;
   fixture.leaves = {kNewB.node.str()};
   fixture.add(kA);
@@ -339,7 +341,7 @@
   CHECK(fixture.counters["ledger_epochs_refused_candidate_total"] > 0);
 }
 
-TEST_CASE("an epoch that the store did not let one member decide alone is told as refused by the store") {
+TEST_CASE("an epoch that the store did not let one member decide alone is logged as refused by the store") {
   maintainer_fixture fixture({kEpoch, {kA, kC}, {}});
   fixture.c_number = 1;
   fixture.add(kA);
--- a/tests/object_store/retirement_test.cpp
+++ b/tests/object_store/retirement_test.cpp
@@ -1,4 +1,4 @@
-/// What a node with a disk knows of the emptying of machines.
+/// Draining of a node's disk, and a node's knowledge of which other nodes are drained.
 #include <catch2/catch.hpp>
 
 #include "object_store/retirement.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A store of which the test answers each watch of retirements.
+/// A store whose replies to watches of retirements are given by the test.
 class answered_store : public object_store::PlatformClient {
  public:
   void watch_objects(std::uint64_t, Duration, object_store::ChangesDone) override {}
@@ -62,8 +62,8 @@
 
 }  // namespace
 
-// Whoever offered the place has gone before it had the epoch decided, and nobody else wants that epoch.
-TEST_CASE("a disk that has consented to a place finds out whether an epoch names it before it is emptied") {
+// The proposer that offered the place terminated before the epoch was decided, and no other node wants that epoch.
+TEST_CASE("a disk that has consented to a place determines whether an epoch names it before it counts as drained") {
   const ledger::ReplicaIdentity kOther{NodeId("b"), DiskId("disk-b")};
   fixture node;
   const ledger::GroupMap map{{{3, {kOther}, {}}}};
@@ -88,7 +88,7 @@
   CHECK(node.retirement->is_emptied(NodeId("a")) == std::optional(true));
 }
 
-TEST_CASE("a node with a disk knows which machines were emptied as long as the store tells it") {
+TEST_CASE("a node with a disk knows which machines were drained as long as the store replies") {
   const NodeId other("b");
   fixture node;
   CHECK_FALSE(node.retirement->is_emptied(other).has_value());
@@ -106,7 +106,7 @@
   CHECK(node.retirement->is_emptied(other) == std::optional(false));
 }
 
-TEST_CASE("a node with a disk knows of its own emptying without the store") {
+TEST_CASE("a node with a disk knows without the store that it is drained itself") {
   const ledger::ReplicaIdentity own{NodeId("a"), DiskId("disk-a")};
   const ledger::ReplicaIdentity other{NodeId("b"), DiskId("disk-b")};
   fixture node;
--- a/tests/object_store/sole_deciders_test.cpp
+++ b/tests/object_store/sole_deciders_test.cpp
@@ -14,7 +14,7 @@
 const ledger::ReplicaIdentity kA{NodeId("a"), DiskId("disk-a")};
 const ledger::ReplicaIdentity kB{NodeId("b"), DiskId("disk-b")};
 
-/// A store that may be away, and whose answers may be lost.
+/// A store that may be unavailable, and whose replies may be lost.
 class troubled_store : public PlatformClient {
  public:
   explicit troubled_store(TestEnvironment& environment) : environment_(environment), table(environment) {}
@@ -50,8 +50,8 @@
   emulator::WatchedTable table;
   int lose_answers = 0;
   bool away = false;
-  bool silent_reads = false;   ///< They are never answered, not even with a failure.
-  bool silent_writes = false;  ///< The same of writes.
+  bool silent_reads = false;   ///< Reads get no reply, not even an error.
+  bool silent_writes = false;  ///< Writes get no reply, not even an error.
 };
 
 struct decider_fixture {
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("of two members one is named the sole decider of an epoch, and stays so") {
+TEST_CASE("one of two members is named the sole decider of an epoch, permanently") {
   decider_fixture fixture;
   REQUIRE(succeeded(*fixture.ask(kA)));
   const auto other = fixture.ask(kB);
@@ -79,20 +79,20 @@
   CHECK(succeeded(*fixture.ask(kA)));
 }
 
-TEST_CASE("each epoch has a decider of its own") {
+TEST_CASE("each epoch has its own sole decider") {
   decider_fixture fixture;
   REQUIRE(succeeded(*fixture.ask(kA, 7)));
   CHECK(succeeded(*fixture.ask(kB, 8)));
 }
 
-TEST_CASE("a lost answer of the store neither grants twice nor loses the grant") {
+TEST_CASE("a lost reply of the store neither grants twice nor loses the grant") {
   decider_fixture fixture;
   fixture.store.lose_answers = 1;
   CHECK(succeeded(*fixture.ask(kA)));
   CHECK_FALSE(succeeded(*fixture.ask(kB)));
 }
 
-TEST_CASE("while the store is away nobody is granted, later somebody is") {
+TEST_CASE("no member is granted the decision while the store is unavailable, and one is afterwards") {
   decider_fixture fixture;
   fixture.store.away = true;
   CHECK_FALSE(succeeded(*fixture.ask(kA)));
@@ -101,8 +101,9 @@
   CHECK_FALSE(succeeded(*fixture.ask(kA)));
 }
 
-// By reading: who asks holds its group back until the answer comes, so without one it would for good.
-TEST_CASE("a store that answers nothing at all leaves nobody waiting for a grant for good") {
+// The requester does not change the group until the reply arrives, so without a reply it would wait
+// forever.
+TEST_CASE("a request for a grant ends even if the store never replies") {
   decider_fixture fixture;
   fixture.store.silent_writes = true;
   const auto unwritten = fixture.ask(kA);
--- a/tests/object_store/stale_disk_view_test.cpp
+++ b/tests/object_store/stale_disk_view_test.cpp
@@ -1,4 +1,4 @@
-/// A controller that knows a node with a disk that it had before does not take its present disk for lost.
+/// A controller that knows a node with an earlier disk does not treat the node's current disk as lost.
 #include <catch2/catch.hpp>
 
 #include "support/departure_site.hpp"
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kSeeds = 12;
 
-/// @return the decisions that took a member for lost while its disk was there.
+/// @return the decisions that treated a member as lost while its disk was present.
 std::string false_losses(const std::string& account, const std::string& present_disk) {
   std::string found;
   std::size_t begin = 0;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-// The spare disk was changed before it became a member, while one that looks after the groups was frozen.
+// The spare disk was replaced before it became a member, while a maintainer of the groups was frozen.
 TEST_CASE("a member is not given up by a maintainer that knows its node with an earlier disk") {
   std::string found;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
--- a/tests/object_store/store_feed_test.cpp
+++ b/tests/object_store/store_feed_test.cpp
@@ -1,5 +1,5 @@
-/// Word of the store in a large fleet: few nodes watch it, the others are fed, and look themselves when the feed is
-/// silent.
+/// Distribution of the store's changes in a large fleet: few nodes watch the store and feed the others, which poll it
+/// themselves when the feed is overdue.
 #include <catch2/catch.hpp>
 
 #include "node/node_core.hpp"
@@ -13,9 +13,10 @@
 namespace {
 
 constexpr Duration kFeedSilence = 1500ms;
-constexpr Duration kLongestSilence = kFeedSilence + 700ms;  ///< With the spread between nodes and the check's interval.
+constexpr Duration kLongestSilence =
+    kFeedSilence + 700ms;  ///< Includes the spread between nodes and the check interval.
 
-/// A store with nothing new: answers at the end of each wait, unless it is away.
+/// A store without changes: replies at the end of each wait, unless it is unavailable.
 class quiet_store : public object_store::PlatformClient {
  public:
   explicit quiet_store(TestEnvironment& environment) : environment_(environment) {}
@@ -63,7 +64,7 @@
   void answer(std::uint64_t since, Duration wait, object_store::ChangesDone done) {
     answer_when_due(since, environment_.now() + wait, done);
   }
-  /// Answers 4 ms after there is something later than @p since, or at the end of the wait.
+  /// Replies 4 ms after there is a revision later than @p since, or at the end of the wait.
   void answer_when_due(std::uint64_t since, Timestamp until, const object_store::ChangesDone& done) {
     if (since >= revision && environment_.now() < until) {
       const Duration pause = std::min<Duration>(10ms, until - environment_.now());
@@ -89,7 +90,7 @@
   return member;
 }
 
-/// One node of a fleet whose other members the test speaks for.
+/// One node of a fleet; the test sends the messages of the other members.
 struct FeedFixture {
   explicit FeedFixture(unsigned peers, const std::string& prefix = "peer-")
       : core({environment, counters, nullptr, backends, store, log}, options()) {
@@ -109,7 +110,7 @@
     options.controller.readers = 2;
     options.controller.all_read_up_to = 4;
     options.controller.feed_silence = kFeedSilence;
-    // The test answers no probes; nobody is to be suspected for that.
+    // The test does not reply to probes; no member is to be suspected for that.
     options.membership.period = 1h;
     return options;
   }
@@ -126,7 +127,7 @@
                           age_ms);
     }
   }
-  /// Runs for @p duration with a word of the feed each half second.
+  /// Runs for @p duration with a feed message every half second.
   void run_fed(Duration duration, std::uint32_t age_ms) {
     for (Duration passed{}; passed < duration; passed += 500ms) {
       feed(store.revision, age_ms);
@@ -159,7 +160,7 @@
 
 }  // namespace
 
-TEST_CASE("in a small fleet every node watches the store and nobody is fed") {
+TEST_CASE("in a small fleet every node watches the store and no node is fed") {
   FeedFixture fixture(3);
   CHECK(fixture.core.controller->is_reader());
   fixture.environment.world.run_for(20s);
@@ -167,7 +168,7 @@
   CHECK(fixture.counters["platform_feed_silences_total"] == 0);
 }
 
-TEST_CASE("a node that is fed leaves the store alone") {
+TEST_CASE("a node that is fed does not read the store") {
   FeedFixture fixture(kFedFleet);
   REQUIRE_FALSE(fixture.core.controller->is_reader());
   fixture.environment.world.run_for(kLongestSilence);
@@ -176,17 +177,17 @@
   CHECK(fixture.store.object_reads == at_start);
 }
 
-TEST_CASE("a node whose feed is silent, or brings only old word, looks into the store itself") {
+TEST_CASE("a node whose feed is overdue, or delivers only old data, polls the store itself") {
   FeedFixture fixture(kFedFleet);
   REQUIRE_FALSE(fixture.core.controller->is_reader());
   fixture.environment.world.run_for(kLongestSilence);
   const std::size_t at_start = fixture.store.object_reads;
   SECTION("silent") { fixture.environment.world.run_for(kLongestSilence); }
-  SECTION("old word") { fixture.run_fed(kLongestSilence + 500ms, 5000); }
+  SECTION("old data") { fixture.run_fed(kLongestSilence + 500ms, 5000); }
   CHECK(fixture.store.object_reads > at_start);
 }
 
-TEST_CASE("word of a later revision counts once that revision is held") {
+TEST_CASE("a feed of a later revision counts once the node has that revision") {
   FeedFixture fixture(kFedFleet);
   fixture.environment.world.run_for(kLongestSilence);
   fixture.run_fed(2s, 200);
@@ -199,8 +200,8 @@
   delta.since = 5;
   delta.up_to = 9;
   delta.age_ms = 10;
-  SECTION("an answer to an earlier pull has no age that counts") { delta.number = 0; }
-  SECTION("the answer to the pull counts from the pull on") {
+  SECTION("the age in a reply to an earlier pull is ignored") { delta.number = 0; }
+  SECTION("the reply to the pull counts from the time of the pull") {
     delta.number = last_pull_of(fixture, wire::TableId::Objects);
   }
   const Timestamp pulled_at = fixture.environment.now();
@@ -213,7 +214,7 @@
   CHECK(fixture.core.objects.as_of() == pulled_at - 10ms);
 }
 
-TEST_CASE("a reader of a large fleet tells those that rely on it what the store showed, each second") {
+TEST_CASE("a reader of a large fleet feeds the state of the store to the nodes that rely on it, each second") {
   std::unique_ptr<FeedFixture> fixture;
   for (char letter = 'a'; letter <= 'z'; ++letter) {
     fixture = std::make_unique<FeedFixture>(8, std::string(1, letter));
@@ -231,7 +232,7 @@
   CHECK(fixture->notices_sent() - before <= 6 * kFed * kTables);
 }
 
-TEST_CASE("a storm of changes costs a reader of a large fleet a call each 400 ms, not one for each change") {
+TEST_CASE("a burst of changes costs a reader of a large fleet one call per 400 ms, not one per change") {
   std::unique_ptr<FeedFixture> fixture;
   for (char letter = 'a'; letter <= 'z'; ++letter) {
     fixture = std::make_unique<FeedFixture>(8, std::string(1, letter));
@@ -251,7 +252,7 @@
   CHECK(fixture->store.object_reads - before <= 6);
 }
 
-TEST_CASE("a node that starts and knows a seed waits for a peer's word, a seed does not") {
+TEST_CASE("a starting node that knows a seed waits for a peer's feed, a seed does not") {
   const auto reads_within = [](Duration time, bool is_seed) {
     TestEnvironment environment;
     Counters counters;
@@ -271,7 +272,7 @@
   CHECK(reads_within(700ms, false) > 0);
 }
 
-TEST_CASE("while the store is away, nodes that do not read it look seldom") {
+TEST_CASE("while the store is unavailable, nodes that are not readers poll it rarely") {
   FeedFixture fixture(kFedFleet);
   REQUIRE_FALSE(fixture.core.controller->is_reader());
   fixture.environment.world.run_for(kLongestSilence);
@@ -286,7 +287,7 @@
 }
 
 TEST_CASE(
-    "a node that starts in a large fleet and hears from a peer leaves the store to others, however few it knows") {
+    "a starting node that is fed by a peer in a large fleet does not read the store, even if it knows few members") {
   TestEnvironment environment;
   Counters counters;
   FakeBackends backends;
@@ -311,11 +312,11 @@
     environment.world.run_for(500ms);
   }
   CHECK(store.object_reads == 0);
-  environment.world.run_for(3s);  // no word any more, and its start is over: it knows few members, so it reads
+  environment.world.run_for(3s);  // no feed and start-up is over: the node knows few members, so it reads
   CHECK(store.object_reads > 0);
 }
 
-TEST_CASE("a relay passes the readers' word on to its own zone, a node that is neither passes nothing on") {
+TEST_CASE("a relay forwards the readers' feed to its own zone, a node that is neither forwards nothing") {
   bool relay_seen = false;
   bool other_seen = false;
   for (char letter = 'a'; letter <= 'z'; ++letter) {
@@ -332,7 +333,8 @@
     CHECK((fixture.notices_sent() > 0) == relayed);
     for (const SentMessage& message : fixture.environment.sent) {
       if (message.body.type == wire::Message::RevisionNotice) {
-        const std::string& peer = message.to.str();  // like "a3:1"; peers with even numbers share this node's zone
+        const std::string& peer =
+            message.to.str();  // for example "a3:1"; peers with even numbers are in this node's zone
         CHECK(std::stoi(peer.substr(1)) % 2 == 0);
       }
     }
@@ -341,7 +343,7 @@
   CHECK(other_seen);
 }
 
-TEST_CASE("a node that reads the store takes and lifts the evacuation of a zone, and its peers learn of both") {
+TEST_CASE("a node that reads the store applies and lifts the evacuation of a zone, and its peers learn of both") {
   FeedFixture fixture(2);
   FeedFixture peer(2);
   fixture.store.evacuates = true;
@@ -371,13 +373,13 @@
   CHECK(evacuated(peer) == 0);
 }
 
-TEST_CASE("a store in which nobody evacuates zones is not asked about them") {
+TEST_CASE("a store without evacuations is not asked for evacuated zones") {
   FeedFixture fixture(2);
   fixture.environment.world.run_for(30s);
   CHECK(fixture.store.evacuation_reads == 0);
 }
 
-TEST_CASE("a node whose feed is silent looks at the evacuated zones, too") {
+TEST_CASE("a node whose feed is overdue reads the evacuated zones, too") {
   FeedFixture fixture(kFedFleet);
   fixture.store.evacuates = true;
   fixture.environment.world.run_for(kLongestSilence + 100ms);
