--- a/src/object_store/controller.cpp
+++ b/src/object_store/controller.cpp
@@ -6,46 +6,46 @@
 
 namespace madderdeck::object_store {
 namespace {
-constexpr Duration kIdle = 500ms;
-constexpr Duration kFeedCheck = 100ms;
-constexpr Duration kStartCheck = 50ms;
+constexpr Duration kReaderCheckInterval = 500ms;
+constexpr Duration kFeedCheckInterval = 100ms;
+constexpr Duration kStartCheckInterval = 50ms;
 /// Changes in a large fleet come in bursts, as when all back ends start; changes within this time share one call.
-constexpr Duration kNewsPause = 400ms;
-constexpr Duration kCallSummary = 5s;
+constexpr Duration kChangeBatchDelay = 400ms;
+constexpr Duration kCallSummaryInterval = 5s;
 /// Delay between the polls of nodes with successive ranks in a zone: the result of the first one takes that long to
 /// arrive.
-constexpr Duration kLookStep = 40ms;
+constexpr Duration kPollStagger = 40ms;
 /// Delay between the polls of a zone's first nodes that have no data yet: a list of 10,000 back ends takes some seconds
 /// to read, and each of its 50 pages is a call.
-constexpr Duration kStartLookStep = 500ms;
-constexpr Duration::rep kApartAtStart = 8;
-constexpr Duration kLeastLookPause = 1s;  ///< After a failed poll; doubles.
+constexpr Duration kInitialPollStagger = 500ms;
+constexpr Duration::rep kMaxStaggeredInitialPolls = 8;
+constexpr Duration kMinPollRetryDelay = 1s;  ///< After a failed poll; doubles.
 /// With this limit a node has the store's data at most 4 s after the store serves it again.
-constexpr unsigned kMostLookDoublings = 1;
+constexpr unsigned kMaxPollDelayDoublings = 1;
 /// A feed that is newer by less than this is not forwarded.
-constexpr Duration kRelayStep = 300ms;
-constexpr Duration kDeclareRest = 1s;
-constexpr Duration kAnnounceTime = 5s;
+constexpr Duration kMinRelayAdvance = 300ms;
+constexpr Duration kDeclareCooldown = 1s;
+constexpr Duration kAnnounceDuration = 5s;
 /// Time for which a former member has to appear gone: a controller that was frozen or partitioned may know its node
 /// with an earlier disk for a while, and the records of the former member may have no other copy.
-constexpr Duration kLeaverPatience = 5s;
+constexpr Duration kLeaverGoneDelay = 5s;
 /// The same for a former member that is alive and does not report that it leaves: it may have just started and, while
 /// the store is unavailable, not know yet that it is to be drained.
-constexpr Duration kStayerPatience = 60s;
+constexpr Duration kPresentLeaverGoneDelay = 60s;
 /// Time after its start from which a node treats members unknown to it as missing. A member that starts later keeps its
 /// records for the others to copy.
-constexpr Duration kSettling = 1s;
+constexpr Duration kFleetJoinTime = 1s;
 /// Time for which a member waits for the maintainers to publish its group's epoch in the store before it does.
-constexpr Duration kUntoldPatience = 2s;
+constexpr Duration kPublishTimeout = 2s;
 /// Delay between the turns of controllers of successive ranks to found the groups.
-constexpr Duration kFoundingTurn = 2s;
+constexpr Duration kFoundingTurnInterval = 2s;
 /// Time after a refusal for which the same change is not proposed again.
-constexpr Duration kRefusedRest = 1s;
+constexpr Duration kRefusedChangeCooldown = 1s;
 /// Limit of concurrent decisions at a node that is not a maintainer of the groups.
-constexpr std::size_t kMostDecisionsInTurn = 16;
+constexpr std::size_t kMaxConcurrentDecisions = 16;
 /// Interval at which the process records that it is running. A reply may be read after the first record that follows a
 /// suspension, so the last but one is used.
-constexpr Duration kRunCheck = 50ms;
+constexpr Duration kRunRecordInterval = 50ms;
 
 }  // namespace
 
@@ -86,7 +86,7 @@
     watch(evacuations_, &PlatformClient::watch_evacuations, false);
   }
   environment_.after(options_.group_check, lifetime_.guard([this] { maintain_groups(); }));
-  environment_.after(kCallSummary, lifetime_.guard([this] { tell_calls(); }));
+  environment_.after(kCallSummaryInterval, lifetime_.guard([this] { log_calls(); }));
   if (options_.feed_silence.count() > 0) {
     check_feed();
   }
@@ -98,13 +98,13 @@
     return false;
   }
   const Duration up = environment_.now() - started_;
-  const Timestamp word = objects_.as_of();
-  if (word.count() == 0) {
+  const Timestamp last_feed = objects_.as_of();
+  if (last_feed.count() == 0) {
     const auto before = static_cast<Duration::rep>(feeds_.rank_in_fleet());
-    return up < options_.start_patience + std::min<Duration>(kLookStep * before, options_.start_settling);
+    return up < options_.peer_wait_at_start + std::min<Duration>(kPollStagger * before, options_.peer_feed_at_start);
   }
   // While few members are known, a large fleet appears small enough for every node to read the store.
-  return up < options_.start_settling && environment_.now() - word < options_.feed_silence;
+  return up < options_.peer_feed_at_start && environment_.now() - last_feed < options_.feed_silence;
 }
 
 bool Controller::is_reader() const {
@@ -114,11 +114,11 @@
   return feeds_.all_read() || feeds_.is_reader();
 }
 
-void Controller::relay(config::TableReplicator& table, Relayed& relayed) {
+void Controller::relay(config::TableReplicator& table, RelayState& relayed) {
   // A new revision is forwarded at once, regardless of the time since the last message.
-  const bool news = table.table().revision() > relayed.revision;
-  const bool fresher = table.as_of() >= relayed.as_of + kRelayStep;
-  if ((!news && !fresher) || feeds_.all_read() || !feeds_.is_relay()) {
+  const bool has_changes = table.table().revision() > relayed.revision;
+  const bool fresher = table.as_of() >= relayed.as_of + kMinRelayAdvance;
+  if ((!has_changes && !fresher) || feeds_.all_read() || !feeds_.is_relay()) {
     return;
   }
   relayed = {table.table().revision(), table.as_of()};
@@ -126,13 +126,13 @@
   table.feed(feeds_.fed_from_here());
 }
 
-Duration Controller::patience_with_feed(bool empty) const {
+Duration Controller::feed_timeout(bool empty) const {
   const auto before = static_cast<Duration::rep>(feeds_.rank_in_zone());
   if (empty) {
-    const Duration::rep apart = std::min(before, kApartAtStart);
-    return options_.feed_silence + kStartLookStep * apart + kLookStep * (before - apart);
+    const Duration::rep apart = std::min(before, kMaxStaggeredInitialPolls);
+    return options_.feed_silence + kInitialPollStagger * apart + kPollStagger * (before - apart);
   }
-  return options_.feed_silence + std::min<Duration>(kLookStep * before, options_.look_spread);
+  return options_.feed_silence + std::min<Duration>(kPollStagger * before, options_.poll_spread);
 }
 
 void Controller::watch(config::TableReplicator& table, Watch source, bool at_once) {
@@ -140,36 +140,38 @@
     environment_.after(pause, lifetime_.guard([this, &table, source, probe] { watch(table, source, probe); }));
   };
   if (!is_reader()) {
-    again_after(waits_for_peers() ? kStartCheck : kIdle, false);
+    again_after(waits_for_peers() ? kStartCheckInterval : kReaderCheckInterval, false);
     return;
   }
   const auto next = [this, &table, source, again_after, before = table.table().revision()](bool answered) {
-    const bool news = table.table().revision() != before;
-    if (answered && news && !feeds_.all_read()) {
-      again_after(kNewsPause, false);
+    const bool has_changes = table.table().revision() != before;
+    if (answered && has_changes && !feeds_.all_read()) {
+      again_after(kChangeBatchDelay, false);
     } else if (answered) {
       watch(table, source, false);
     } else {
       again_after(options_.store_retry, true);
     }
   };
-  const bool prompt =
+  const bool feeds_others =
       !feeds_.all_read() && options_.feed_silence.count() > 0 && (&table == &objects_ || &table == &machines_);
-  const Duration wait = prompt ? std::min(options_.watch_wait, options_.watch_wait_of_readers) : options_.watch_wait;
-  ask(table, source, at_once ? Duration::zero() : wait, next);
+  const Duration wait =
+      feeds_others ? std::min(options_.watch_wait, options_.watch_wait_of_readers) : options_.watch_wait;
+  read_source(table, source, at_once ? Duration::zero() : wait, next);
 }
 
-void Controller::ask(config::TableReplicator& table, Watch source, Duration wait, std::function<void(bool)> next) {
+void Controller::read_source(config::TableReplicator& table, Watch source, Duration wait,
+                             std::function<void(bool)> next) {
   const Timestamp asked_at = environment_.now();
   const bool watches = wait.count() > 0;
-  if (asks_++ == 0 && !notes_running_) {
-    note_running();
+  if (open_requests_++ == 0 && !records_running_) {
+    record_running();
   }
   if (watches) {
     watched_since_[&table] = asked_at;
   }
   const auto take = [this, &table, asked_at, wait, next, watches](Result<ChangeList> result) {
-    --asks_;
+    --open_requests_;
     note_store(succeeded(result));
     if (!succeeded(result)) {
       if (watches) {
@@ -185,8 +187,8 @@
     // them, since its process may have been suspended, so the reply is dated by the last time at which the process is
     // known to have run without them.
     const Timestamp none_yet = std::max(asked_at, ran_at_.back());
-    const bool news = !changes.entries.empty() || !changes.rejected.empty() || changes.complete;
-    const Timestamp as_of = news ? none_yet : std::min(environment_.now(), asked_at + wait);
+    const bool has_changes = !changes.entries.empty() || !changes.rejected.empty() || changes.complete;
+    const Timestamp as_of = has_changes ? none_yet : std::min(environment_.now(), asked_at + wait);
     table.apply_from_source(changes.since, changes.up_to, changes.entries, changes.complete, as_of);
     if (watches) {
       watched_since_.erase(&table);
@@ -201,15 +203,15 @@
 }
 
 /// Runs only while replies are outstanding.
-void Controller::note_running() {
-  notes_running_ = asks_ > 0;
-  if (!notes_running_) {
+void Controller::record_running() {
+  records_running_ = open_requests_ > 0;
+  if (!records_running_) {
     return;
   }
-  environment_.after(kRunCheck, lifetime_.guard([this] { note_running(); }));
+  environment_.after(kRunRecordInterval, lifetime_.guard([this] { record_running(); }));
   std::rotate(ran_at_.rbegin(), ran_at_.rbegin() + 1, ran_at_.rend());
   ran_at_.front() = environment_.now();
-  if (store_silent_since_.count() != 0) {
+  if (store_unavailable_since_.count() != 0) {
     return;
   }
   for (const auto& [table, since] : watched_since_) {
@@ -220,56 +222,56 @@
 }
 
 void Controller::check_feed() {
-  environment_.after(kFeedCheck, lifetime_.guard([this] { check_feed(); }));
+  environment_.after(kFeedCheckInterval, lifetime_.guard([this] { check_feed(); }));
   if (is_reader()) {
     return;
   }
-  relay(objects_, relayed_objects_);
-  relay(machines_, relayed_machines_);
-  look_when_silent(objects_, &PlatformClient::watch_objects, look_at_objects_);
-  look_when_silent(machines_, &PlatformClient::watch_machines, look_at_machines_);
+  relay(objects_, objects_relay_);
+  relay(machines_, machines_relay_);
+  poll_if_overdue(objects_, &PlatformClient::watch_objects, objects_poll_);
+  poll_if_overdue(machines_, &PlatformClient::watch_machines, machines_poll_);
   if (platform_.has_group_source() && groups_.table().revision() == 0) {
-    look_when_silent(groups_, &PlatformClient::watch_groups, look_at_groups_);
+    poll_if_overdue(groups_, &PlatformClient::watch_groups, groups_poll_);
   }
 }
 
-void Controller::look_when_silent(config::TableReplicator& table, Watch source, Look& look) {
+void Controller::poll_if_overdue(config::TableReplicator& table, Watch source, PollState& poll) {
   const Timestamp now = environment_.now();
   const Duration silence = now - std::max(table.as_of(), started_);
-  if (look.running || now < look.not_before || silence < options_.feed_silence) {
+  if (poll.running || now < poll.not_before || silence < options_.feed_silence) {
     return;
   }
   const bool empty = table.table().revision() == 0;
   // A table that is being pulled from a peer in parts need not be read from the store.
-  if (silence < patience_with_feed(empty) || (empty && table.pulls())) {
+  if (silence < feed_timeout(empty) || (empty && table.pulls())) {
     return;
   }
-  look.running = true;
+  poll.running = true;
   counters_["platform_feed_silences_total"]++;
   log_.record("store_feed_silent",
               {{"table", table.name()}, {"revision", table.table().revision()}, {"age_ms", table.age_ms()}});
-  ask(table, source, Duration::zero(), [this, &table, &look](bool answered) {
-    look.running = false;
+  read_source(table, source, Duration::zero(), [this, &table, &poll](bool answered) {
+    poll.running = false;
     if (answered) {
-      look.failures = 0;
+      poll.failures = 0;
       // Spares the other nodes of this zone without a feed their own polls.
       table.feed(feeds_.zone_peers());
       if (&table == &machines_) {
-        look_at_evacuations();
+        read_evacuations();
       }
       return;
     }
     // The readers keep retrying; the same rate from all other nodes would flood the store while it is unavailable.
-    const Duration pause = kLeastLookPause * (1U << std::min(look.failures++, kMostLookDoublings));
-    look.not_before = environment_.now() + pause + Duration(environment_.random() % pause.count());
+    const Duration pause = kMinPollRetryDelay * (1U << std::min(poll.failures++, kMaxPollDelayDoublings));
+    poll.not_before = environment_.now() + pause + Duration(environment_.random() % pause.count());
   });
 }
 
-void Controller::look_at_evacuations() {
+void Controller::read_evacuations() {
   if (!platform_.has_evacuations()) {
     return;
   }
-  ask(evacuations_, &PlatformClient::watch_evacuations, Duration::zero(), [this](bool answered) {
+  read_source(evacuations_, &PlatformClient::watch_evacuations, Duration::zero(), [this](bool answered) {
     if (answered) {
       evacuations_.feed(feeds_.zone_peers());
     }
@@ -277,17 +279,17 @@
 }
 
 /// Logs the number of calls to the store, since calls are billed and rate limited.
-void Controller::tell_calls() {
-  environment_.after(kCallSummary, lifetime_.guard([this] { tell_calls(); }));
+void Controller::log_calls() {
+  environment_.after(kCallSummaryInterval, lifetime_.guard([this] { log_calls(); }));
   const CounterValue reads = counters_["platform_reads_total"];
-  if (reads == told_reads_) {
+  if (reads == logged_reads_) {
     return;
   }
-  log_.record("store_calls", {{"reads", reads - told_reads_},
+  log_.record("store_calls", {{"reads", reads - logged_reads_},
                               {"failures", counters_["platform_watch_failures_total"]},
                               {"looks", counters_["platform_feed_silences_total"]},
                               {"reader", is_reader()}});
-  told_reads_ = reads;
+  logged_reads_ = reads;
 }
 
 void Controller::note_rejected(const ChangeList& changes) {
@@ -301,15 +303,15 @@
 }
 
 void Controller::note_store(bool answers) {
-  const bool answered = store_silent_since_.count() == 0;
+  const bool answered = store_unavailable_since_.count() == 0;
   if (answers == answered) {
     return;
   }
   log_.record(answers ? "store_regained" : "store_lost",
-              {{"silent_ms", answered ? 0 : (environment_.now() - store_silent_since_) / 1ms},
+              {{"silent_ms", answered ? 0 : (environment_.now() - store_unavailable_since_) / 1ms},
                {"objects_revision", objects_.table().revision()},
                {"machines_revision", machines_.table().revision()}});
-  store_silent_since_ = answers ? Timestamp{} : environment_.now();
+  store_unavailable_since_ = answers ? Timestamp{} : environment_.now();
 }
 
 // --- replica groups -------------------------------------------------------------------------
@@ -331,7 +333,7 @@
   const bool maintains = feeds_.rank_in_fleet() < options_.maintainers;
   if (ledger_.has_group_map()) {
     change_groups(maintains);
-    tell_pending_changes();
+    log_pending_changes();
   }
   if (!ledger_.has_group_map()) {
     if (maintains || is_to_found()) {
@@ -350,21 +352,21 @@
     return false;
   }
   const auto before = static_cast<Duration::rep>(rank - options_.maintainers);
-  return environment_.now() - started_ >= options_.founding_patience + kFoundingTurn * (1 + before);
+  return environment_.now() - started_ >= options_.founding_timeout + kFoundingTurnInterval * (1 + before);
 }
 
-void Controller::tell_pending_changes() {
+void Controller::log_pending_changes() {
   change_makers makers;
   for (const NodeId& node : feeds_.first_in_fleet(options_.maintainers)) {
     makers.first += (makers.first.empty() ? "" : ", ") + node.str();
   }
   const std::size_t rank = feeds_.rank_in_fleet();
   makers.rank = rank == feed_tree::kNoRank ? -1 : static_cast<std::int64_t>(rank);
-  pending_.tell(makers);
+  pending_.log_due(makers);
 }
 
-bool Controller::has_settled() const {
-  const Duration least = std::min<Duration>(kSettling, options_.founding_wait);
+bool Controller::has_joined_fleet() const {
+  const Duration least = std::min<Duration>(kFleetJoinTime, options_.founding_wait);
   return members_.knows_fleet() && environment_.now() - started_ >= least;
 }
 
@@ -375,7 +377,7 @@
     return;
   }
   const auto nodes = ledger_nodes();
-  const bool patient = environment_.now() - started_ < options_.founding_patience;
+  const bool patient = environment_.now() - started_ < options_.founding_timeout;
   if (nodes.empty() || (nodes.size() < options_.replicas && patient)) {
     return;
   }
@@ -424,7 +426,7 @@
     const bool stopping = node->state == wire::MemberState::Leaving;
     return stopping ? ledger::replica_state::stopping : ledger::replica_state::present;
   }
-  if (!has_settled()) {
+  if (!has_joined_fleet()) {
     return ledger::replica_state::present;
   }
   const Duration patience = options_.replace_after.count() > 0
@@ -436,9 +438,9 @@
 }
 
 /// This controller's view of the fleet, as input to the rule for the next epoch.
-class Controller::group_beliefs : public ledger::fleet_view {
+class Controller::local_fleet_view : public ledger::fleet_view {
  public:
-  explicit group_beliefs(Controller& controller) : controller_(controller) {}
+  explicit local_fleet_view(Controller& controller) : controller_(controller) {}
 
   ledger::replica_state state_of(const ledger::ReplicaIdentity& replica) override {
     return controller_.state_of(replica);
@@ -454,7 +456,7 @@
       return false;
     }
     const Timestamp now = controller_.environment_.now();
-    const Duration patience = state == ledger::replica_state::present ? kStayerPatience : kLeaverPatience;
+    const Duration patience = state == ledger::replica_state::present ? kPresentLeaverGoneDelay : kLeaverGoneDelay;
     return now - controller_.leaver_gone_since_.try_emplace(leaver, now).first->second > patience;
   }
   bool is_retiring(const NodeId& node) const override {
@@ -486,8 +488,8 @@
 
 namespace {
 /// @return the disk that @p change adds to the members in @p present; there is at most one.
-std::optional<ledger::ReplicaIdentity> newcomer_of(const ledger::epoch_change& change,
-                                                   const ledger::ReplicaGroup& present) {
+std::optional<ledger::ReplicaIdentity> new_member_of(const ledger::epoch_change& change,
+                                                     const ledger::ReplicaGroup& present) {
   for (const ledger::ReplicaIdentity& replica : change.next.replicas) {
     if (!present.index_of(replica)) {
       return replica;
@@ -502,8 +504,8 @@
   if (group >= groups.size() || !groups[group].index_of(member)) {
     return false;
   }
-  group_beliefs beliefs(*this);
-  const auto change = ledger::wanted_change(groups[group], beliefs, options_.replicas, options_.changes);
+  local_fleet_view view(*this);
+  const auto change = ledger::wanted_change(groups[group], view, options_.replicas, options_.changes);
   return change && change->rule.let_go == member;
 }
 
@@ -533,14 +535,14 @@
   return proposal_turns{there + rank - options_.maintainers, std::max<std::size_t>(1, others)};
 }
 
-bool Controller::takes_silence_for_loss(const ledger::epoch_change& change) {
+bool Controller::drops_unresponsive_member(const ledger::epoch_change& change) {
   const auto& given_up = change.rule.given_up;
   const bool leavers_dropped = change.rule.whole_majority && !change.rule.let_go;
   return leavers_dropped || (given_up && state_of(*given_up) == ledger::replica_state::missing);
 }
 
 bool Controller::takes_turn(std::uint32_t group, const ledger::epoch_change& change) {
-  if (deciding_.size() >= kMostDecisionsInTurn) {
+  if (deciding_.size() >= kMaxConcurrentDecisions) {
     return false;
   }
   // That an unresponsive node is gone is only this node's view. It suffices only if this node is a member, since other
@@ -548,7 +550,7 @@
   const ledger::ReplicaGroup& description = ledger_.group_map().groups[group];
   const bool is_member =
       description.index_of({NodeId(members_.self().id), DiskId(members_.self().disk_id)}).has_value();
-  if (takes_silence_for_loss(change) && !is_member) {
+  if (drops_unresponsive_member(change) && !is_member) {
     return false;
   }
   const auto turns = turns_at(description);
@@ -568,24 +570,24 @@
 bool Controller::was_just_refused(std::uint32_t group, const ledger::epoch_change& change) const {
   const auto entry = refused_.find(group);
   return entry != refused_.end() && entry->second.next == change.next &&
-         environment_.now() - entry->second.at < kRefusedRest;
+         environment_.now() - entry->second.at < kRefusedChangeCooldown;
 }
 
 void Controller::change_groups(bool maintains) {
   const auto& groups = ledger_.group_map().groups;
-  group_beliefs beliefs(*this);
+  local_fleet_view view(*this);
   for (std::uint32_t group = 0; group < groups.size(); ++group) {
     if (deciding_.contains(group)) {
       continue;
     }
-    if (const auto change = ledger::wanted_change(groups[group], beliefs, options_.replicas, options_.changes)) {
+    if (const auto change = ledger::wanted_change(groups[group], view, options_.replicas, options_.changes)) {
       pending_.note_wanted(group, *change);
       if (!was_just_refused(group, *change) && (maintains || takes_turn(group, *change))) {
         begin_change(group, *change);
       }
       continue;
     }
-    pending_.note_calm(group);
+    pending_.note_unwanted(group);
     const auto announced = announce_until_.find(group);
     if (announced != announce_until_.end() && environment_.now() < announced->second) {
       ledger_.announce_group(group);
@@ -597,14 +599,14 @@
   deciding_.insert(group);
   pending_.note_attempt(group);
   proposals_.note_proposed(group, change);
-  const auto newcomer = newcomer_of(change, ledger_.group_map().groups[group]);
-  if (!newcomer || !options_.changes.new_members_consent) {
+  const auto new_member = new_member_of(change, ledger_.group_map().groups[group]);
+  if (!new_member || !options_.changes.new_members_consent) {
     ask_sole_decider(group, change);
     return;
   }
-  const wire::MemberT* node = member(newcomer->node);
+  const wire::MemberT* node = member(new_member->node);
   const bool retiring = node != nullptr && node->retiring;
-  offers_.ask({group, change.next.epoch, *newcomer, retiring, std::nullopt},
+  offers_.ask({group, change.next.epoch, *new_member, retiring, std::nullopt},
               lifetime_.guard([this, group, change](const Status& status) {
                 if (succeeded(status)) {
                   ask_sole_decider(group, change);
@@ -631,7 +633,7 @@
 
 void Controller::end_change(std::uint32_t group, const ledger::epoch_change& change, const Error& why) {
   refused_[group] = {change.next, environment_.now()};
-  proposals_.tell_declined(group, change, why);
+  proposals_.log_declined(group, change, why);
   pending_.note_outcome(group, why);
   deciding_.erase(group);
 }
@@ -652,7 +654,7 @@
       decide(group, change);
     } else {
       pending_.note_outcome(group, error_of(status));
-      proposals_.tell_not_let(group, change, error_of(status));
+      proposals_.log_not_granted(group, change, error_of(status));
       deciding_.erase(group);  // proposed again at the next check, if still wanted
     }
   }));
@@ -660,14 +662,14 @@
 
 void Controller::decide(std::uint32_t group, const ledger::epoch_change& change) {
   counters_["replica_replacements_total"]++;
-  const auto newcomer = newcomer_of(change, ledger_.group_map().groups[group]);
-  const auto decided = [this, group, change, newcomer](const Result<ledger::ReplicaGroup>& result) {
+  const auto new_member = new_member_of(change, ledger_.group_map().groups[group]);
+  const auto decided = [this, group, change, new_member](const Result<ledger::ReplicaGroup>& result) {
     deciding_.erase(group);
-    announce_until_[group] = environment_.now() + kAnnounceTime;
-    proposals_.tell(group, change, result);
+    announce_until_[group] = environment_.now() + kAnnounceDuration;
+    proposals_.log_outcome(group, change, result);
     // The new disk waits to learn whether that epoch names it.
-    if (newcomer) {
-      ledger_.tell_group(group, newcomer->node);
+    if (new_member) {
+      ledger_.tell_group(group, new_member->node);
     }
     if (!succeeded(result)) {
       if (error_of(result).kind == ErrorKind::conflict) {
@@ -692,7 +694,7 @@
   }
 }
 
-std::optional<std::uint32_t> Controller::place_in_untold_group() const {
+std::optional<std::uint32_t> Controller::index_in_unpublished_group() const {
   const auto& known = ledger_.group_map().groups;
   const auto& published = catalog_.groups().groups;
   const ledger::ReplicaIdentity self{NodeId(members_.self().id), DiskId(members_.self().disk_id)};
@@ -706,16 +708,16 @@
 }
 
 void Controller::publish_overdue_groups() {
-  const auto place = place_in_untold_group();
+  const auto place = index_in_unpublished_group();
   if (!place) {
-    untold_since_ = Timestamp{};
+    unpublished_since_ = Timestamp{};
     return;
   }
-  if (untold_since_.count() == 0) {
-    untold_since_ = environment_.now();
+  if (unpublished_since_.count() == 0) {
+    unpublished_since_ = environment_.now();
   }
   // Members take turns, so that a publication by the first one spares the others the call.
-  if (environment_.now() - untold_since_ > kUntoldPatience * (1 + *place)) {
+  if (environment_.now() - unpublished_since_ > kPublishTimeout * (1 + *place)) {
     publish_groups();
   }
 }
@@ -730,7 +732,7 @@
   declaring_ = true;
   declarations_.declare(std::move(request), lifetime_.guard([this](const Result<std::uint64_t>&) {
     // Whichever write won, the watch delivers the current object.
-    environment_.after(kDeclareRest, lifetime_.guard([this] { declaring_ = false; }));
+    environment_.after(kDeclareCooldown, lifetime_.guard([this] { declaring_ = false; }));
   }));
 }
 
--- a/src/object_store/controller.hpp
+++ b/src/object_store/controller.hpp
@@ -29,18 +29,18 @@
   /// A node that is not a reader polls the store itself after this time without a feed message; zero: never.
   Duration feed_silence{};
   /// The polls of a zone's nodes are spread over this time, so that the result of the first one reaches the others.
-  Duration look_spread = 500ms;
+  Duration poll_spread = 500ms;
   /// After its start, a node that knows a seed waits this long for a peer's feed before it reads the store.
-  Duration start_patience{};
+  Duration peer_wait_at_start{};
   /// For this long after its start, a node that receives the feed from peers does not read the store: it may not know
   /// all members yet.
-  Duration start_settling{};
-  std::size_t maintainers = 2;      ///< Number of controllers that maintain the replica groups.
-  Duration store_retry = 1s;        ///< Delay after a failed watch.
-  Duration founding_wait = 3s;      ///< Time for all disks of a new fleet to appear.
-  Duration founding_patience = 8s;  ///< After it, groups are founded with fewer than `replicas` disks.
-  Duration group_check = 1s;        ///< Interval between checks of the replica groups.
-  Duration replace_after{};         ///< Replaces a replica after it is missing this long; zero: the fleet's policy.
+  Duration peer_feed_at_start{};
+  std::size_t maintainers = 2;     ///< Number of controllers that maintain the replica groups.
+  Duration store_retry = 1s;       ///< Delay after a failed watch.
+  Duration founding_wait = 3s;     ///< Time for all disks of a new fleet to appear.
+  Duration founding_timeout = 8s;  ///< After it, groups are founded with fewer than `replicas` disks.
+  Duration group_check = 1s;       ///< Interval between checks of the replica groups.
+  Duration replace_after{};        ///< Replaces a replica after it is missing this long; zero: the fleet's policy.
   Duration watch_wait = 10s;
   Duration watch_wait_of_readers = 1s;  ///< watch_wait of a reader that feeds other nodes.
   Duration machine_poll = 500ms;
@@ -54,9 +54,9 @@
   void keep_within(Duration bound) {
     watch_wait_of_readers = bound * 3 / 8;
     feed_silence = bound * 9 / 20;
-    look_spread = bound * 3 / 10;
-    start_patience = std::min<Duration>(600ms, bound / 4);
-    start_settling = 5s;
+    poll_spread = bound * 3 / 10;
+    peer_wait_at_start = std::min<Duration>(600ms, bound / 4);
+    peer_feed_at_start = 5s;
   }
 };
 
@@ -85,32 +85,32 @@
   /// @return whether this node has just started and may still get the tables from a peer.
   bool waits_for_peers() const;
   /// Revision and time of the table state that this node last forwarded.
-  struct Relayed {
+  struct RelayState {
     std::uint64_t revision = 0;
     Timestamp as_of{};
   };
   /// Forwards the readers' feed if this node is a relay and the table is newer than what it last forwarded.
-  void relay(config::TableReplicator& table, Relayed& relayed);
+  void relay(config::TableReplicator& table, RelayState& relayed);
   /// @return the time without a feed message after which this node polls the store.
   /// @param empty whether this node has no revision of the table yet.
-  Duration patience_with_feed(bool empty) const;
+  Duration feed_timeout(bool empty) const;
   /// Sends one request to the source; @p next receives whether it succeeded.
-  void ask(config::TableReplicator& table, Watch source, Duration wait, std::function<void(bool)> next);
+  void read_source(config::TableReplicator& table, Watch source, Duration wait, std::function<void(bool)> next);
   /// Records times at which this process was running: a reply that is read after the process was suspended may have
   /// arrived when the suspension began.
-  void note_running();
+  void record_running();
   /// Polls the store when the feed is overdue: all readers may be down, or partitioned from this node.
   void check_feed();
   /// State of this node's own polls of a table, made when the feed is overdue.
-  struct Look {
+  struct PollState {
     bool running = false;
     unsigned failures = 0;   ///< Consecutive.
     Timestamp not_before{};  ///< Earliest next poll after a failure.
   };
-  void look_when_silent(config::TableReplicator& table, Watch source, Look& look);
+  void poll_if_overdue(config::TableReplicator& table, Watch source, PollState& poll);
   /// Reads the evacuated zones; called after this node had to read the machine list itself.
-  void look_at_evacuations();
-  void tell_calls();
+  void read_evacuations();
+  void log_calls();
   void note_store(bool answers);
   /// Logs objects that cannot be parsed; their previous versions stay in force.
   void note_rejected(const ChangeList& changes);
@@ -118,9 +118,9 @@
   /// @return whether this process has run for long enough to found groups on the nodes that it knows.
   bool knows_fleet() const;
   /// @return whether this node has been in the fleet long enough to treat members unknown to it as missing.
-  bool has_settled() const;
+  bool has_joined_fleet() const;
   void found_groups();
-  class group_beliefs;
+  class local_fleet_view;
   /// Determines the wanted change of each group, and proposes it if this node is to.
   /// @param maintains whether this node is one of the maintainers of the groups.
   void change_groups(bool maintains);
@@ -129,13 +129,13 @@
   bool takes_turn(std::uint32_t group, const ledger::epoch_change& change);
   /// @return whether @p change gives up a member, or drops a former one, only because it is unresponsive in this node's
   ///         view.
-  bool takes_silence_for_loss(const ledger::epoch_change& change);
+  bool drops_unresponsive_member(const ledger::epoch_change& change);
   /// @return the turns of this node at changes of @p group; nothing if it accepts no new work.
   std::optional<proposal_turns> turns_at(const ledger::ReplicaGroup& group);
   /// @return whether this node is to found the groups because the nodes that rank before it have not done so.
   bool is_to_found() const;
   /// Logs changes that are wanted and not made.
-  void tell_pending_changes();
+  void log_pending_changes();
   /// @return whether the same change of @p group was refused recently; proposing it at each check would be useless.
   bool was_just_refused(std::uint32_t group, const ledger::epoch_change& change) const;
   /// First step of @p change: asks the disk that is to become a member, if any, for its consent.
@@ -151,7 +151,7 @@
   /// Publishes epochs that the maintainers have not published in time; they may not know of them.
   void publish_overdue_groups();
   /// @return the index of this node among the members of its first group whose published epoch is outdated.
-  std::optional<std::uint32_t> place_in_untold_group() const;
+  std::optional<std::uint32_t> index_in_unpublished_group() const;
   void declare_groups(const ledger::GroupMap& map);
   std::vector<const wire::MemberT*> ledger_nodes() const;
   const wire::MemberT* member(const NodeId& node) const;
@@ -186,19 +186,19 @@
   std::map<std::uint32_t, Timestamp> announce_until_;  ///< Until when a group's latest epoch is announced again.
   std::map<ledger::ReplicaIdentity, Timestamp> leaver_gone_since_;  ///< Former members that appear gone.
   bool declaring_ = false;
-  Timestamp untold_since_{};  ///< Since when a group of this node has an outdated published epoch; zero: none has.
-  CounterValue told_reads_ = 0;
-  Timestamp store_silent_since_{};
+  Timestamp unpublished_since_{};  ///< Since when a group of this node has an outdated published epoch; zero: none has.
+  CounterValue logged_reads_ = 0;
+  Timestamp store_unavailable_since_{};
   Timestamp started_{};
-  std::size_t asks_ = 0;  ///< Requests to the store without a reply yet.
-  bool notes_running_ = false;
-  std::array<Timestamp, 2> ran_at_{};  ///< The last two times noted by note_running(), latest first.
+  std::size_t open_requests_ = 0;  ///< Requests to the store without a reply yet.
+  bool records_running_ = false;
+  std::array<Timestamp, 2> ran_at_{};  ///< The last two times noted by record_running(), latest first.
   std::map<config::TableReplicator*, Timestamp> watched_since_;  ///< Start times of open watches.
-  Look look_at_objects_;
-  Look look_at_machines_;
-  Look look_at_groups_;
-  Relayed relayed_objects_;
-  Relayed relayed_machines_;
+  PollState objects_poll_;
+  PollState machines_poll_;
+  PollState groups_poll_;
+  RelayState objects_relay_;
+  RelayState machines_relay_;
   Lifetime lifetime_;
 };
 
--- a/src/object_store/declarations.cpp
+++ b/src/object_store/declarations.cpp
@@ -4,10 +4,10 @@
 
 namespace madderdeck::object_store {
 namespace {
-constexpr Duration kSettleTime = 5s;
-constexpr Duration kRetryPause = 200ms;
+constexpr Duration kSettleTimeout = 5s;
+constexpr Duration kRetryDelay = 200ms;
 /// Additional wait for a missing reply; a client of the store reports a failed call within this time.
-constexpr Duration kAnswerTime = 4s;
+constexpr Duration kReplyTimeout = 4s;
 }  // namespace
 
 Declarations::Declarations(Environment& environment, Counters& counters, PlatformClient& platform,
@@ -17,8 +17,8 @@
 void Declarations::declare(PutRequest request, Done done) {
   const ChangeNumber number = ++next_;
   request.change_id = hex64(environment_.random()) + hex64(environment_.random());
-  pending_.emplace(number, Pending{std::move(request), std::move(done), environment_.now() + kSettleTime, false});
-  environment_.after(kSettleTime + kAnswerTime, lifetime_.guard([this, number] { end_unanswered(number); }));
+  pending_.emplace(number, Pending{std::move(request), std::move(done), environment_.now() + kSettleTimeout, false});
+  environment_.after(kSettleTimeout + kReplyTimeout, lifetime_.guard([this, number] { end_unanswered(number); }));
   try_put(number);
 }
 
@@ -92,12 +92,12 @@
 
 void Declarations::retry(ChangeNumber number, void (Declarations::*step)(ChangeNumber)) {
   Pending& pending = pending_.at(number);
-  if (environment_.now() + kRetryPause >= pending.deadline) {
+  if (environment_.now() + kRetryDelay >= pending.deadline) {
     const ErrorKind kind = pending.maybe_applied ? ErrorKind::ambiguous : ErrorKind::unavailable;
     finish(number, Error{kind, "the platform's store does not answer"});
     return;
   }
-  environment_.after(kRetryPause, lifetime_.guard([this, number, step] {
+  environment_.after(kRetryDelay, lifetime_.guard([this, number, step] {
     if (pending_.contains(number)) {
       (this->*step)(number);
     }
--- a/src/object_store/feed_tree.cpp
+++ b/src/object_store/feed_tree.cpp
@@ -42,7 +42,7 @@
   controllers readers = std::move(all);
   keep_first(readers, sizes_.readers);
   is_reader_ = holds(readers, &members_.self());
-  find_fed(zones, readers);
+  find_fed_nodes(zones, readers);
 }
 
 void feed_tree::find_ranks(const controllers& all) const {
@@ -76,10 +76,10 @@
   return relays;
 }
 
-void feed_tree::find_fed(const std::map<std::string, controllers>& zones, const controllers& readers) const {
+void feed_tree::find_fed_nodes(const std::map<std::string, controllers>& zones, const controllers& readers) const {
   const wire::MemberT& self = members_.self();
   is_relay_ = false;
-  fed_.clear();
+  fed_nodes_.clear();
   for (const auto& [zone, here] : zones) {
     const controllers relays = relays_among(here, readers);
     const bool own_zone = zone == self.zone;
@@ -87,7 +87,7 @@
     if (is_reader_ && !own_zone) {
       for (const controller& relay : relays) {
         if (!holds(readers, relay.member)) {
-          fed_.emplace_back(relay.member->peer_address);
+          fed_nodes_.emplace_back(relay.member->peer_address);
         }
       }
     }
@@ -101,7 +101,7 @@
                    rendezvous_weight(one.member->id, right.member->id);
           });
       if (feeder->member == &self && !holds(relays, one.member)) {
-        fed_.emplace_back(one.member->peer_address);
+        fed_nodes_.emplace_back(one.member->peer_address);
       }
     }
   }
@@ -124,7 +124,7 @@
 
 const std::vector<PeerAddress>& feed_tree::fed_from_here() const {
   refresh();
-  return fed_;
+  return fed_nodes_;
 }
 
 const std::vector<PeerAddress>& feed_tree::zone_peers() const {
--- a/src/object_store/feed_tree.hpp
+++ b/src/object_store/feed_tree.hpp
@@ -60,7 +60,7 @@
   static bool holds(const controllers& among, const wire::MemberT* member);
   /// @return the relays of a zone, whose controllers are @p here.
   controllers relays_among(const controllers& here, const controllers& readers) const;
-  void find_fed(const std::map<std::string, controllers>& zones, const controllers& readers) const;
+  void find_fed_nodes(const std::map<std::string, controllers>& zones, const controllers& readers) const;
 
   const membership::Membership& members_;
   const feed_sizes sizes_;
@@ -68,7 +68,7 @@
   mutable bool all_read_ = false;
   mutable bool is_reader_ = false;
   mutable bool is_relay_ = false;
-  mutable std::vector<PeerAddress> fed_;
+  mutable std::vector<PeerAddress> fed_nodes_;
   mutable std::vector<PeerAddress> zone_peers_;
   mutable std::size_t rank_in_zone_ = 0;
   mutable std::size_t rank_in_fleet_ = 0;
--- a/src/object_store/pending_changes.cpp
+++ b/src/object_store/pending_changes.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 /// A change takes a few round trips when its members can agree; one that is pending for longer is logged.
-constexpr Duration kTellAfter = 3s;
+constexpr Duration kLogDelay = 3s;
 /// By then the maintainers have checked and proposed, and most changes are made.
-constexpr Duration kUndonePatience = 1s;
+constexpr Duration kFirstTurnDelay = 1s;
 /// Members that can agree do so within one turn, so that two proposers seldom compete.
-constexpr Duration kTurn = 1s;
-constexpr Duration kMostPause = 80s;
+constexpr Duration kTurnDuration = 1s;
+constexpr Duration kMaxLogInterval = 80s;
 /// Log lines per call: a node that leaves may be a member of hundreds of groups.
-constexpr unsigned kMostLines = 8;
+constexpr unsigned kMaxLinesPerCall = 8;
 
 }  // namespace
 
@@ -26,8 +26,8 @@
     pending = pending_change{};
     pending.from_epoch = from_epoch;
     pending.since = now;
-    pending.tell_at = now + kTellAfter;
-    pending.pause = kTellAfter;
+    pending.log_at = now + kLogDelay;
+    pending.log_interval = kLogDelay;
   }
   pending.reason = change.reason;
 }
@@ -58,11 +58,11 @@
 }
 
 bool pending_changes::take_turn(std::uint32_t group, const proposal_turns& turns) {
-  const Duration undone = wanted_for(group) - kUndonePatience;
-  if (undone < Duration::zero()) {
+  const Duration overdue_for = wanted_for(group) - kFirstTurnDelay;
+  if (overdue_for < Duration::zero()) {
     return false;
   }
-  const auto begun = static_cast<std::size_t>(undone / kTurn);
+  const auto begun = static_cast<std::size_t>(overdue_for / kTurnDuration);
   if (begun < turns.first) {
     return false;
   }
@@ -73,19 +73,19 @@
   return takes;
 }
 
-void pending_changes::tell(const change_makers& makers) {
+void pending_changes::log_due(const change_makers& makers) {
   const Timestamp now = environment_.now();
   CounterValue overdue = 0;
   unsigned lines = 0;
   for (auto& [group, change] : pending_) {
-    overdue += now - change.since >= kTellAfter ? 1 : 0;
-    if (now < change.tell_at || lines == kMostLines) {
+    overdue += now - change.since >= kLogDelay ? 1 : 0;
+    if (now < change.log_at || lines == kMaxLinesPerCall) {
       continue;
     }
     record(group, change, makers);
     ++lines;
-    change.pause = std::min(change.pause * 2, kMostPause);
-    change.tell_at = now + change.pause;
+    change.log_interval = std::min(change.log_interval * 2, kMaxLogInterval);
+    change.log_at = now + change.log_interval;
   }
   counters_["ledger_group_changes_pending"] = overdue;
 }
--- a/src/object_store/pending_changes.hpp
+++ b/src/object_store/pending_changes.hpp
@@ -35,7 +35,7 @@
   /// Records that @p change of the group is wanted.
   void note_wanted(std::uint32_t group, const ledger::epoch_change& change);
   /// Records that no change of the group is wanted.
-  void note_calm(std::uint32_t group) { pending_.erase(group); }
+  void note_unwanted(std::uint32_t group) { pending_.erase(group); }
   /// Records that this node proposes the change.
   void note_attempt(std::uint32_t group);
   /// Records the error that ended this node's attempt; ignored if the change is not pending any more.
@@ -47,15 +47,15 @@
   /// @return whether it took a turn.
   bool take_turn(std::uint32_t group, const proposal_turns& turns);
   /// Logs the changes whose log line is due, a limited number at a time.
-  void tell(const change_makers& makers);
+  void log_due(const change_makers& makers);
 
  private:
   struct pending_change {
     std::uint64_t from_epoch = 0;
     std::string reason;
     Timestamp since{};
-    Timestamp tell_at{};
-    Duration pause{};
+    Timestamp log_at{};
+    Duration log_interval{};
     unsigned attempts = 0;  ///< By this node.
     Timestamp attempted_at{};
     std::size_t turns_taken = 0;
--- a/src/object_store/place_offers.cpp
+++ b/src/object_store/place_offers.cpp
@@ -6,11 +6,11 @@
 namespace madderdeck::object_store {
 namespace {
 
-constexpr Duration kAskAgain = 200ms;
+constexpr Duration kRetryInterval = 200ms;
 /// A disk writes its consent before it replies, which can take several syncs on a slow disk.
-constexpr Duration kPatience = 1s;
+constexpr Duration kReplyTimeout = 1s;
 /// Time after a refusal during which other disks are preferred.
-constexpr Duration kDeclinedFor = 3s;
+constexpr Duration kDeclinedCooldown = 3s;
 
 }  // namespace
 
@@ -24,7 +24,8 @@
   open_offer& open = open_[offer.group];
   open = {offer, std::move(done), PeerAddress(""), environment_.now(), number};
   send(open);
-  environment_.after(kAskAgain, lifetime_.guard([this, group = offer.group, number] { look_at(group, number); }));
+  environment_.after(kRetryInterval,
+                     lifetime_.guard([this, group = offer.group, number] { check_offer(group, number); }));
 }
 
 void place_offers::send(open_offer& open) const {
@@ -46,15 +47,15 @@
     request.gives_up->node = open.offer.gives_up->node.str();
     request.gives_up->disk = open.offer.gives_up->disk.str();
   }
-  send_message_within(kAskAgain, environment_, *address, std::move(request));
+  send_message_within(kRetryInterval, environment_, *address, std::move(request));
 }
 
-void place_offers::look_at(std::uint32_t group, std::uint64_t number) {
+void place_offers::check_offer(std::uint32_t group, std::uint64_t number) {
   const auto entry = open_.find(group);
   if (entry == open_.end() || entry->second.number != number) {
     return;
   }
-  if (environment_.now() - entry->second.began_at >= kPatience) {
+  if (environment_.now() - entry->second.began_at >= kReplyTimeout) {
     const open_offer open = std::move(open_.extract(entry).mapped());
     decline(open, "silent");
     open.done(Error{ErrorKind::unavailable,
@@ -62,7 +63,7 @@
     return;
   }
   send(entry->second);
-  environment_.after(kAskAgain, lifetime_.guard([this, group, number] { look_at(group, number); }));
+  environment_.after(kRetryInterval, lifetime_.guard([this, group, number] { check_offer(group, number); }));
 }
 
 void place_offers::handle(const PeerAddress& sender, const wire::CopyStatusT& answer) {
@@ -71,8 +72,8 @@
     return;
   }
   // The reply of a node of an earlier version has no field for consent; that the node replies counts as consent.
-  const bool says_nothing = answer.consent == wire::PlaceConsent::NotSaid;
-  if (says_nothing || answer.place_epoch == entry->second.offer.epoch) {
+  const bool lacks_consent_field = answer.consent == wire::PlaceConsent::NotSaid;
+  if (lacks_consent_field || answer.place_epoch == entry->second.offer.epoch) {
     end(answer.group, answer.consent);
   }
 }
@@ -99,7 +100,7 @@
 
 void place_offers::decline(const open_offer& open, const char* ground) {
   const Timestamp now = environment_.now();
-  std::erase_if(declined_at_, [now](const auto& one) { return now - one.second > kDeclinedFor; });
+  std::erase_if(declined_at_, [now](const auto& one) { return now - one.second > kDeclinedCooldown; });
   declined_at_[open.offer.disk] = now;
   counters_[std::string("replica_places_declined_") + ground + "_total"]++;
   log_.record("replica_place_declined", {{"group", open.offer.group},
@@ -111,7 +112,7 @@
 
 bool place_offers::is_declined(const ledger::ReplicaIdentity& disk) const {
   const auto entry = declined_at_.find(disk);
-  return entry != declined_at_.end() && environment_.now() - entry->second <= kDeclinedFor;
+  return entry != declined_at_.end() && environment_.now() - entry->second <= kDeclinedCooldown;
 }
 
 }  // namespace madderdeck::object_store
--- a/src/object_store/place_offers.hpp
+++ b/src/object_store/place_offers.hpp
@@ -38,7 +38,7 @@
 
   void send(open_offer& open) const;
   /// Sends the offer again until the reply timeout.
-  void look_at(std::uint32_t group, std::uint64_t number);
+  void check_offer(std::uint32_t group, std::uint64_t number);
   void end(std::uint32_t group, wire::PlaceConsent answer);
   void decline(const open_offer& open, const char* ground);
 
--- a/src/object_store/proposal_journal.cpp
+++ b/src/object_store/proposal_journal.cpp
@@ -29,18 +29,18 @@
   open_[group].votes = votes;
 }
 
-void proposal_journal::tell(std::uint32_t group, const ledger::epoch_change& asked,
-                            const Result<ledger::ReplicaGroup>& result) {
+void proposal_journal::log_outcome(std::uint32_t group, const ledger::epoch_change& asked,
+                                   const Result<ledger::ReplicaGroup>& result) {
   const proposal how = take(group);
   const auto ground = succeeded(result) ? ledger::refusal_ground::none : ledger::ground_of(error_of(result), how.votes);
   record(group, asked, result, ground, how);
 }
 
-void proposal_journal::tell_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
+void proposal_journal::log_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
   record(group, asked, why, ledger::refusal_ground::candidate, take(group));
 }
 
-void proposal_journal::tell_not_let(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
+void proposal_journal::log_not_granted(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
   record(group, asked, why, ledger::refusal_ground::store, take(group));
 }
 
--- a/src/object_store/proposal_journal.hpp
+++ b/src/object_store/proposal_journal.hpp
@@ -24,11 +24,11 @@
   /// Records the members' votes on the proposal; its outcome follows.
   void note_votes(std::uint32_t group, const ledger::decision_votes& votes);
   /// Logs the outcome of the proposal: the decided description, or why none was decided.
-  void tell(std::uint32_t group, const ledger::epoch_change& asked, const Result<ledger::ReplicaGroup>& result);
+  void log_outcome(std::uint32_t group, const ledger::epoch_change& asked, const Result<ledger::ReplicaGroup>& result);
   /// Logs that the disk that was to become a member refused, or did not reply; the members were not asked.
-  void tell_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why);
+  void log_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why);
   /// Logs that the store did not let one member decide alone; the members were not asked.
-  void tell_not_let(std::uint32_t group, const ledger::epoch_change& asked, const Error& why);
+  void log_not_granted(std::uint32_t group, const ledger::epoch_change& asked, const Error& why);
 
  private:
   struct proposal {
--- a/src/object_store/proposer_view.cpp
+++ b/src/object_store/proposer_view.cpp
@@ -5,10 +5,10 @@
 namespace madderdeck::object_store {
 namespace {
 
-believed_disk believe(const ledger::ReplicaIdentity& identity, const membership::Membership& members) {
-  believed_disk disk;
+disk_view view_of_disk(const ledger::ReplicaIdentity& identity, const membership::Membership& members) {
+  disk_view disk;
   disk.identity = identity;
-  disk.word = members.last_word_of(identity.node);
+  disk.contact = members.last_word_of(identity.node);
   const wire::MemberT* node = members.find(identity.node);
   if (node == nullptr) {
     return disk;
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::string believed_disk::text() const {
+std::string disk_view::text() const {
   std::string text = ledger::text_of(identity);
   if (!state) {
     return text + " unknown";
@@ -33,27 +33,27 @@
   }
   text += retiring ? " retiring" : "";
   text += other_disk.empty() ? "" : " with " + other_disk.str();
-  if (word) {
-    text += " " + std::to_string(word->age / 1ms) + "ms";
-    text += word->first_hand ? "" : " by others";
+  if (contact) {
+    text += " " + std::to_string(contact->age / 1ms) + "ms";
+    text += contact->first_hand ? "" : " by others";
   }
   return text;
 }
 
 std::optional<Duration> proposer_view::age() const {
   Duration oldest{};
-  for (const believed_disk& disk : disks) {
-    if (!disk.word) {
+  for (const disk_view& disk : disks) {
+    if (!disk.contact) {
       return std::nullopt;
     }
-    oldest = std::max(oldest, disk.word->age);
+    oldest = std::max(oldest, disk.contact->age);
   }
   return oldest;
 }
 
 std::string proposer_view::text() const {
   std::string text;
-  for (const believed_disk& disk : disks) {
+  for (const disk_view& disk : disks) {
     text += (text.empty() ? "" : ", ") + disk.text();
   }
   return text;
@@ -63,7 +63,7 @@
   proposer_view view;
   view.taken_at = now;
   for (const ledger::ReplicaIdentity& identity : next.all()) {
-    view.disks.push_back(believe(identity, members));
+    view.disks.push_back(view_of_disk(identity, members));
   }
   return view;
 }
--- a/src/object_store/proposer_view.hpp
+++ b/src/object_store/proposer_view.hpp
@@ -12,12 +12,12 @@
 namespace madderdeck::object_store {
 
 /// The state of one disk in the proposer's view.
-struct believed_disk {
+struct disk_view {
   ledger::ReplicaIdentity identity;
-  std::optional<wire::MemberState> state;       ///< Of its node; nothing: the proposer did not know that node.
-  bool retiring = false;                        ///< Its node was known to be draining.
-  DiskId other_disk;                            ///< The disk of its node, if that was another one.
-  std::optional<membership::member_word> word;  ///< Latest report about its node.
+  std::optional<wire::MemberState> state;          ///< Of its node; nothing: the proposer did not know that node.
+  bool retiring = false;                           ///< Its node was known to be draining.
+  DiskId other_disk;                               ///< The disk of its node, if that was another one.
+  std::optional<membership::member_word> contact;  ///< Latest report about its node.
 
   /// @return "node/disk state age", as "b/disk-b retiring 40ms".
   std::string text() const;
@@ -26,7 +26,7 @@
 /// The proposer's view of the disks at the time of the proposal.
 struct proposer_view {
   Timestamp taken_at{};
-  std::vector<believed_disk> disks;
+  std::vector<disk_view> disks;
 
   /// @return the age of the oldest report that the view is based on; nothing if a disk's node was not known.
   std::optional<Duration> age() const;
--- a/src/object_store/retirement.cpp
+++ b/src/object_store/retirement.cpp
@@ -10,14 +10,14 @@
 constexpr Duration kWatchWait = 25s;
 constexpr Duration kStoreRetry = 300ms;
 constexpr Duration kCheckInterval = 200ms;
-constexpr Duration kTellPending = 2s;  ///< Interval between log lines about pending groups.
+constexpr Duration kPendingLogInterval = 2s;  ///< Interval between log lines about pending groups.
 /// A proposer that offered this disk a place has the epoch decided and reported by then, unless it is down.
-constexpr Duration kOpenPlacePatience = 1s;
+constexpr Duration kOpenPlaceTimeout = 1s;
 }  // namespace
 
 Retirement::Retirement(Environment& environment, Counters& counters, DecisionLog& log, membership::Membership& members,
                        ledger::Replica& replica, ledger::Client& ledger, PlatformClient& platform,
-                       std::size_t least_copies)
+                       std::size_t min_copies)
     : environment_(environment),
       counters_(counters),
       log_(log),
@@ -25,13 +25,13 @@
       replica_(replica),
       ledger_(ledger),
       platform_(platform),
-      least_copies_(least_copies) {}
+      min_copies_(min_copies) {}
 
 void Retirement::start() { watch(); }
 
 void Retirement::watch() {
   const auto take = [this](Result<ChangeList> result) {
-    told_lately_ = succeeded(result);
+    last_watch_succeeded_ = succeeded(result);
     if (!succeeded(result)) {
       environment_.after(kStoreRetry, lifetime_.guard([this] { watch(); }));
       return;
@@ -39,12 +39,12 @@
     const ChangeList& changes = value_of(result);
     revision_ = changes.up_to;
     for (const config::Entry& entry : changes.entries) {
-      note_emptied(entry);
+      update_drained(entry);
       if (entry.key.name == members_.self().id && !entry.deleted) {
         begin();
       }
     }
-    if (!std::exchange(asked_store_, true) && !begun_) {
+    if (!std::exchange(store_replied_, true) && !begun_) {
       replica_.keep_disk();
     }
     watch();
@@ -52,20 +52,20 @@
   platform_.watch_retirements(revision_, kWatchWait, lifetime_.guard(take));
 }
 
-void Retirement::note_emptied(const config::Entry& entry) {
+void Retirement::update_drained(const config::Entry& entry) {
   const NodeId node(entry.key.name);
   if (!entry.deleted && entry.body == kCompletedRetirement) {
-    emptied_.insert(node);
+    drained_.insert(node);
   } else {
-    emptied_.erase(node);
+    drained_.erase(node);
   }
 }
 
 std::optional<bool> Retirement::is_emptied(const NodeId& node) const {
-  if (emptied_.contains(node) || (completed_ && node.str() == members_.self().id)) {
+  if (drained_.contains(node) || (completed_ && node.str() == members_.self().id)) {
     return true;
   }
-  return told_lately_ ? std::optional(false) : std::nullopt;
+  return last_watch_succeeded_ ? std::optional(false) : std::nullopt;
 }
 
 void Retirement::begin() {
@@ -85,15 +85,15 @@
   if (completed_) {
     return;
   }
-  const std::vector<ledger::pending_handover> pending = replica_.pending_handovers(least_copies_);
+  const std::vector<ledger::pending_handover> pending = replica_.pending_handovers(min_copies_);
   counters_["retirement_groups_pending"] = static_cast<CounterValue>(pending.size());
-  if (replica_.left_all_groups(least_copies_)) {
+  if (replica_.left_all_groups(min_copies_)) {
     complete();
     return;
   }
   const std::vector<ledger::open_place> open = replica_.open_places();
   settle_open_places(open);
-  tell_pending(pending, open.size());
+  log_pending(pending, open.size());
   replica_.ask_copy_status();
   environment_.after(kCheckInterval, lifetime_.guard([this] { check(); }));
 }
@@ -117,7 +117,7 @@
                 [&open](const auto& entry) { return std::find(open.begin(), open.end(), entry.first) == open.end(); });
   for (const ledger::open_place& place : open) {
     const Timestamp since = open_since_.try_emplace(place, now).first->second;
-    if (now - since >= kOpenPlacePatience && settling_.insert(place.group).second) {
+    if (now - since >= kOpenPlaceTimeout && settling_.insert(place.group).second) {
       settle(place);
     }
   }
@@ -139,13 +139,13 @@
   ledger_.settle_next(place.group, lifetime_.guard(take));
 }
 
-void Retirement::tell_pending(const std::vector<ledger::pending_handover>& pending, std::size_t open_places) {
+void Retirement::log_pending(const std::vector<ledger::pending_handover>& pending, std::size_t open_places) {
   const Timestamp now = environment_.now();
-  const bool told_lately = told_pending_at_.count() != 0 && now - told_pending_at_ < kTellPending;
-  if ((pending.empty() && open_places == 0) || told_lately) {
+  const bool logged_recently = pending_logged_at_.count() != 0 && now - pending_logged_at_ < kPendingLogInterval;
+  if ((pending.empty() && open_places == 0) || logged_recently) {
     return;
   }
-  told_pending_at_ = now;
+  pending_logged_at_ = now;
   const ledger::pending_handover first = pending.empty() ? ledger::pending_handover{} : pending.front();
   log_.record("retirement_pending", {{"node", members_.self().id},
                                      {"groups", pending.size()},
--- a/src/object_store/retirement.hpp
+++ b/src/object_store/retirement.hpp
@@ -17,10 +17,10 @@
 /// Runs on ledger nodes. Single threaded.
 class Retirement {
  public:
-  /// @param least_copies how many other disks have to hold each record before this disk may be removed: the number of
+  /// @param min_copies how many other disks have to hold each record before this disk may be removed: the number of
   ///        disks that may be lost at once, plus one.
   Retirement(Environment& environment, Counters& counters, DecisionLog& log, membership::Membership& members,
-             ledger::Replica& replica, ledger::Client& ledger, PlatformClient& platform, std::size_t least_copies);
+             ledger::Replica& replica, ledger::Client& ledger, PlatformClient& platform, std::size_t min_copies);
 
   void start();
   /// @return whether the draining of @p node is completed, as reported by the platform or known for this node itself;
@@ -30,7 +30,7 @@
  private:
   void watch();
   /// Updates the set of drained nodes.
-  void note_emptied(const config::Entry& entry);
+  void update_drained(const config::Entry& entry);
   void begin();
   void check();
   /// Reports completion, after persisting it so that it survives a restart; no group needs the disk any more.
@@ -40,7 +40,7 @@
   void settle_open_places(const std::vector<ledger::open_place>& open);
   void settle(const ledger::open_place& place);
   /// Logs from time to time which groups the node waits for.
-  void tell_pending(const std::vector<ledger::pending_handover>& pending, std::size_t open_places);
+  void log_pending(const std::vector<ledger::pending_handover>& pending, std::size_t open_places);
   void report(RetirementState state);
 
   Environment& environment_;
@@ -50,16 +50,16 @@
   ledger::Replica& replica_;
   ledger::Client& ledger_;
   PlatformClient& platform_;
-  const std::size_t least_copies_;
+  const std::size_t min_copies_;
   std::uint64_t revision_ = 0;
-  Timestamp told_pending_at_{};
+  Timestamp pending_logged_at_{};
   bool begun_ = false;
   bool completed_ = false;
-  bool asked_store_ = false;  ///< The store has reported whether this node is to be drained.
+  bool store_replied_ = false;  ///< The store has reported whether this node is to be drained.
   std::map<ledger::open_place, Timestamp> open_since_;
-  std::set<std::uint32_t> settling_;  ///< Groups with a settle request in progress.
-  std::set<NodeId> emptied_;          ///< Drained nodes, as reported by the platform.
-  bool told_lately_ = false;          ///< The latest finished watch succeeded.
+  std::set<std::uint32_t> settling_;   ///< Groups with a settle request in progress.
+  std::set<NodeId> drained_;           ///< Drained nodes, as reported by the platform.
+  bool last_watch_succeeded_ = false;  ///< The latest finished watch succeeded.
   Lifetime lifetime_;
 };
 
--- a/src/object_store/sole_deciders.cpp
+++ b/src/object_store/sole_deciders.cpp
@@ -11,7 +11,7 @@
 }
 
 /// Reply timeout; a client of the store reports a failed call within this time.
-constexpr Duration kAnswerTime = 4s;
+constexpr Duration kReplyTimeout = 4s;
 
 std::string name_of(const ledger::ReplicaIdentity& member) { return member.node.str() + " " + member.disk.str(); }
 
@@ -40,15 +40,15 @@
 
 void sole_deciders::read_back(const config::EntryKey& key, const std::string& wanted, granted done) {
   // Runs the callback once: on the reply or on its timeout.
-  const auto tell = [waiting = std::make_shared<granted>(std::move(done))](const Status& status) {
+  const auto reply_once = [waiting = std::make_shared<granted>(std::move(done))](const Status& status) {
     if (const granted told = std::exchange(*waiting, nullptr)) {
       told(status);
     }
   };
-  environment_.after(kAnswerTime, lifetime_.guard([tell] {
-    tell(Error{ErrorKind::unavailable, "the platform's store did not reply"});
+  environment_.after(kReplyTimeout, lifetime_.guard([reply_once] {
+    reply_once(Error{ErrorKind::unavailable, "the platform's store did not reply"});
   }));
-  const auto take = [wanted, done = tell](const Result<std::optional<StoredObject>>& result) {
+  const auto take = [wanted, done = reply_once](const Result<std::optional<StoredObject>>& result) {
     if (!succeeded(result)) {
       done(error_of(result));
     } else if (!value_of(result)) {
--- a/src/object_store/stopping_handover.hpp
+++ b/src/object_store/stopping_handover.hpp
@@ -12,9 +12,9 @@
 /// source of copies until enough other disks hold its records. Runs from the stop request on. Single threaded.
 class stopping_handover {
  public:
-  /// @param least_copies how many other disks have to hold each record before this node may stop.
+  /// @param min_copies how many other disks have to hold each record before this node may stop.
   stopping_handover(Environment& environment, Counters& counters, DecisionLog& log, ledger::Replica& replica,
-                    Controller& controller, ledger::ReplicaIdentity self, std::size_t least_copies);
+                    Controller& controller, ledger::ReplicaIdentity self, std::size_t min_copies);
 
   void start();
   /// @return whether other nodes still have to copy records of this node. Groups in which it keeps its place do not
@@ -25,7 +25,7 @@
   void check();
   std::size_t pending_groups() const;
   bool is_pending(const ledger::pending_handover& handover) const;
-  void tell(std::string_view event) const;
+  void log_event(std::string_view event) const;
 
   Environment& environment_;
   Counters& counters_;
@@ -33,10 +33,10 @@
   ledger::Replica& replica_;
   Controller& controller_;
   const ledger::ReplicaIdentity self_;
-  const std::size_t least_copies_;
+  const std::size_t min_copies_;
   std::size_t groups_pending_ = 0;
   Timestamp began_at_{};
-  bool told_pending_ = false;
+  bool logged_pending_ = false;
   Lifetime lifetime_;
 };
 
--- a/tests/object_store/departed_member_test.cpp
+++ b/tests/object_store/departed_member_test.cpp
@@ -10,12 +10,13 @@
 
 constexpr std::uint64_t kSeeds =
     6;  ///< Per order of events; the seed varies the departing disk, the times and the network delays.
-constexpr Duration kWithheld = 1500ms;  ///< A member that is unresponsive for this long is suspected, but not yet dead.
-constexpr Duration kGoneWithin = 1s;    ///< Time until removal after a node reports that its disk is drained.
-constexpr Duration kSoon = 100ms;
-constexpr Duration kSomeLooks = 500ms;  ///< A node checks every 200 ms whether its disk is drained.
-constexpr Duration kLostWithin = 5s;    ///< Time until the loss of the next disk after that.
-constexpr Duration kForgotten = 20s;    ///< Time after which epochs list no former member any more.
+constexpr Duration kMaxMessageDelay =
+    1500ms;  ///< A member that is unresponsive for this long is suspected, but not yet dead.
+constexpr Duration kMaxRemovalDelay = 1s;  ///< Time until removal after a node reports that its disk is drained.
+constexpr Duration kShortDelay = 100ms;
+constexpr Duration kSeveralChecks = 500ms;         ///< A node checks every 200 ms whether its disk is drained.
+constexpr Duration kMaxLossDelay = 5s;             ///< Time until the loss of the next disk after that.
+constexpr Duration kFormerMemberListedTime = 20s;  ///< Time after which epochs list no former member any more.
 
 Duration drawn(departure_site& site, Duration most) {
   return Duration(static_cast<Duration::rep>(site.world.random.below(static_cast<std::uint64_t>(most.count()))));
@@ -43,26 +44,26 @@
 unsigned departing_disk(departure_site& site) { return static_cast<unsigned>(site.world.random.below(3)); }
 
 /// Waits until @p disk reports that it is drained, and removes it.
-void empty_and_depart(departure_site& site, unsigned disk) {
+void drain_and_remove(departure_site& site, unsigned disk) {
   REQUIRE(site.wait_until([&] { return site.said_completed(disk); }));
-  site.wait(drawn(site, kGoneWithin));
+  site.wait(drawn(site, kMaxRemovalDelay));
   site.depart(disk);
 }
 
 /// Loses the next disk some time after the departure; if an epoch names the departed disk again, right then.
 void lose_another(departure_site& site, unsigned departed) {
-  site.wait_until([&] { return site.is_member(departed); }, drawn(site, kLostWithin));
-  site.wait(drawn(site, kSoon));
+  site.wait_until([&] { return site.is_member(departed); }, drawn(site, kMaxLossDelay));
+  site.wait(drawn(site, kShortDelay));
   site.lose_disk(another(site, departed));
 }
 
 /// Lets other nodes act while messages are withheld.
-void wait_for_late_word(departure_site& site, unsigned departed) {
-  site.wait_until([&] { return site.is_member(departed); }, kWithheld);
+void wait_for_late_messages(departure_site& site, unsigned departed) {
+  site.wait_until([&] { return site.is_member(departed); }, kMaxMessageDelay);
 }
 
 /// Ways in which a maintainer of the groups receives less than other nodes for a while.
-enum class disturbance { none, word_late, epochs_late, turned_away, cut_off, frozen, backlog, started_anew };
+enum class disturbance { none, messages_late, epochs_late, refused_by_store, partitioned, frozen, backlog, restarted };
 constexpr std::size_t kDisturbances = 8;
 
 /// A departure with an order of events drawn from a seed.
@@ -82,14 +83,14 @@
     retire();
     site_.wait_until([this] { return site_.said_completed(departing_); }, 15s);
     if (site_.said_completed(departing_)) {
-      site_.wait(draw(kGoneWithin));
+      site_.wait(draw(kMaxRemovalDelay));
       site_.depart(departing_);
     }
     if (random_.chance(50)) {  // otherwise the next disk is lost during disturbances
       site_.wait_until([this] { return ended_ == begun_; });
     }
-    site_.wait_until([this] { return site_.is_member(departing_); }, draw(kLostWithin));
-    site_.wait(draw(kSoon));
+    site_.wait_until([this] { return site_.is_member(departing_); }, draw(kMaxLossDelay));
+    site_.wait(draw(kShortDelay));
     site_.lose_disk(lost_);
     site_.wait_until([this] { return ended_ == begun_; });
     site_.recover();
@@ -146,8 +147,8 @@
   }
 
   /// Ends a disturbance, after which messages about the departing disk may stay in transit for a while.
-  void end_with_late_word(unsigned node, Duration time, std::function<void()> end) {
-    const Duration late = random_.chance(50) ? draw(kWithheld) : 0ms;
+  void end_with_late_messages(unsigned node, Duration time, std::function<void()> end) {
+    const Duration late = random_.chance(50) ? draw(kMaxMessageDelay) : 0ms;
     end_after(time, [this, node, end = std::move(end)] {
       site_.withhold_word(node, departing_);
       end();
@@ -156,7 +157,7 @@
   }
 
   void draw_disturbance(unsigned node) {
-    const Duration brief = draw(kWithheld);
+    const Duration brief = draw(kMaxMessageDelay);
     const Duration lasting = random_.chance(50) ? brief : 2s + draw(18s);
     const auto drawn = static_cast<disturbance>(random_.below(kDisturbances));
     // A group does not tolerate a further unavailable member in addition to the lost one.
@@ -164,14 +165,14 @@
     if (node == departing_) {
       return;
     }
-    switch (has_disk ? disturbance::word_late : drawn) {
+    switch (has_disk ? disturbance::messages_late : drawn) {
       case disturbance::none:
         return;
-      case disturbance::turned_away:
+      case disturbance::refused_by_store:
         site_.fleet.conditions.platform_cuts.insert(node);
         end_after(lasting, [this, node] { site_.fleet.conditions.platform_cuts.erase(node); });
         [[fallthrough]];
-      case disturbance::word_late: {
+      case disturbance::messages_late: {
         // Starts close to the start of the draining: messages that show a node alive are not delayed for longer.
         end_after(draw(2s), [this, node] { site_.withhold_word(node, departing_); });
         end_after(2s + brief, [this, node] { site_.tell_words(node); });
@@ -181,21 +182,21 @@
         site_.withhold_epochs(node);
         end_after(lasting, [this, node] { site_.tell_epochs(node); });
         return;
-      case disturbance::cut_off:
+      case disturbance::partitioned:
         site_.cut_off(node);
-        end_with_late_word(node, brief, [this, node] { site_.reconnect(node); });
+        end_with_late_messages(node, brief, [this, node] { site_.reconnect(node); });
         return;
       case disturbance::frozen:
         site_.freeze(node);
-        end_with_late_word(node, lasting, [this, node] { site_.thaw(node); });
+        end_with_late_messages(node, lasting, [this, node] { site_.thaw(node); });
         return;
       case disturbance::backlog:
         site_.freeze_with_backlog(node);
-        end_with_late_word(node, lasting, [this, node] { site_.thaw(node); });
+        end_with_late_messages(node, lasting, [this, node] { site_.thaw(node); });
         return;
-      case disturbance::started_anew:
+      case disturbance::restarted:
         site_.fleet.crash_node(node);
-        end_with_late_word(node, lasting, [this, node] { site_.fleet.start_node(node); });
+        end_with_late_messages(node, lasting, [this, node] { site_.fleet.start_node(node); });
         return;
     }
   }
@@ -228,8 +229,8 @@
     const unsigned late = site.maintainers().at(site.world.random.below(2));
     site.withhold_word(late, disk);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    wait_for_late_word(site, disk);
+    drain_and_remove(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_words(late);
   });
@@ -242,8 +243,8 @@
     const unsigned late = site.maintainers().at(site.world.random.below(2));
     site.withhold_epochs(late);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    wait_for_late_word(site, disk);
+    drain_and_remove(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_epochs(late);
   });
@@ -257,8 +258,8 @@
     site.fleet.conditions.platform_cuts.insert(late);
     site.withhold_word(late, disk);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    wait_for_late_word(site, disk);
+    drain_and_remove(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_words(late);
   });
@@ -270,10 +271,10 @@
     const unsigned late = site.maintainers().at(site.world.random.below(2));
     site.cut_off(late);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
+    drain_and_remove(site, disk);
     site.withhold_word(late, disk);
     site.reconnect(late);
-    wait_for_late_word(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_words(late);
   });
@@ -285,11 +286,11 @@
     const unsigned late = site.maintainers().at(site.world.random.below(2));
     site.freeze(late);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
+    drain_and_remove(site, disk);
     site.wait(drawn(site, 2s));
     site.withhold_word(late, disk);
     site.thaw(late);
-    wait_for_late_word(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_words(late);
   });
@@ -302,8 +303,8 @@
     const unsigned late = site.maintainers().at(site.world.random.below(2));
     site.freeze_with_backlog(late);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    site.wait(drawn(site, kForgotten));
+    drain_and_remove(site, disk);
+    site.wait(drawn(site, kFormerMemberListedTime));
     site.thaw(late);
     lose_another(site, disk);
   });
@@ -316,11 +317,11 @@
     const unsigned late = site.maintainers().at(site.world.random.below(2));
     site.freeze(late);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kForgotten));
+    drain_and_remove(site, disk);
+    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kFormerMemberListedTime));
     site.withhold_word(late, disk);
     site.thaw(late);
-    wait_for_late_word(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_words(late);
   });
@@ -333,8 +334,8 @@
     const unsigned late = site.maintainers().at(site.world.random.below(2));
     site.freeze(late);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kForgotten));
+    drain_and_remove(site, disk);
+    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kFormerMemberListedTime));
     site.thaw(late);
     lose_another(site, disk);
   });
@@ -349,8 +350,8 @@
     const unsigned behind = maintainers.at(1);
     site.freeze(behind);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kForgotten));
+    drain_and_remove(site, disk);
+    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kFormerMemberListedTime));
     site.fleet.crash_node(started);
     site.fleet.set_seeds_of(started, {behind});
     site.cut_off(started);
@@ -364,7 +365,7 @@
                               message.type == wire::Message::MemberSync;
       return of_members && from != behind;
     });
-    wait_for_late_word(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.release(started);
   });
@@ -379,8 +380,8 @@
     site.fleet.retire_disk(disk);
     REQUIRE(site.wait_until([&] { return site.said_completed(disk); }));
     site.fleet.retire_disk(another(site, disk));
-    empty_and_depart(site, disk);
-    wait_for_late_word(site, disk);
+    drain_and_remove(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_words(late);
   });
@@ -397,8 +398,8 @@
     site.fleet.retire_disk(disk);
     REQUIRE(site.wait_until([&] { return site.said_completed(disk); }));
     site.freeze(silent);
-    empty_and_depart(site, disk);
-    site.wait_until([&] { return site.is_member(disk); }, kLostWithin);
+    drain_and_remove(site, disk);
+    site.wait_until([&] { return site.is_member(disk); }, kMaxLossDelay);
   });
 }
 
@@ -410,9 +411,9 @@
     site.fleet.retire_disk(disk);
     REQUIRE(site.wait_until([&] { return site.said_completed(disk); }));
     site.freeze(silent);
-    site.wait(kGoneWithin);
+    site.wait(kMaxRemovalDelay);
     site.depart(disk);
-    site.wait_until([&] { return site.is_member(disk); }, kLostWithin);
+    site.wait_until([&] { return site.is_member(disk); }, kMaxLossDelay);
   });
 }
 
@@ -425,12 +426,12 @@
     const unsigned successor = site.add_spare();
     site.wait(2s);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, disk);
-    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kForgotten));
+    drain_and_remove(site, disk);
+    REQUIRE(site.wait_until([&] { return !site.is_named(disk); }, kFormerMemberListedTime));
     site.withhold_word(late, disk);
     site.withhold_word(late, successor);
     site.thaw(late);
-    wait_for_late_word(site, disk);
+    wait_for_late_messages(site, disk);
     lose_another(site, disk);
     site.tell_words(late);
   });
@@ -448,8 +449,8 @@
     }
     site.fleet.retire_disk(spare);
     site.fleet.retire_disk(disk);
-    empty_and_depart(site, spare);
-    wait_for_late_word(site, spare);
+    drain_and_remove(site, spare);
+    wait_for_late_messages(site, spare);
     lose_another(site, disk);
     for (const unsigned maintainer : site.maintainers()) {
       site.tell_words(maintainer);
@@ -470,15 +471,15 @@
       site.withhold_word(maintainer, spare);
     }
     site.fleet.retire_disk(spare);
-    empty_and_depart(site, spare);
-    site.wait(kWithheld);
+    drain_and_remove(site, spare);
+    site.wait(kMaxMessageDelay);
     lose_another(site, silent);
     site.wait(3s);
   });
 }
 
 /// Requests draining of a spare disk while the members' votes on an epoch that names it are in transit.
-void empty_spare_beside_decision(departure_site& site) {
+void drain_spare_during_decision(departure_site& site) {
   const unsigned spare = site.add_spare();
   const unsigned disk = departing_disk(site);
   site.wait(3s);
@@ -499,13 +500,13 @@
   for (unsigned member = 0; member < 3; ++member) {
     site.release(member);
   }
-  empty_and_depart(site, spare);
+  drain_and_remove(site, spare);
   lose_another(site, disk);
 }
 
 // No view is outdated: the disk would report that it is drained between the request to the members and their votes.
 TEST_CASE("a spare disk does not report that it is drained while a decision that names it is pending") {
-  play({}, empty_spare_beside_decision);
+  play({}, drain_spare_during_decision);
 }
 
 // Without that rule the order above leads to an epoch that names a drained disk.
@@ -514,7 +515,7 @@
   shape.guards.replica.open_places_hold = false;
   departure_site site(shape);
   site.found();
-  empty_spare_beside_decision(site);
+  drain_spare_during_decision(site);
   site.recover();
   site.judge();
   CHECK(site.faults().contains(departure_fault::named_after_completed));
@@ -541,13 +542,13 @@
     site.wait_until([&] { return site.is_member(disk); }, 10s);
     // The epoch that adds the disk again is still in transit.
     site.release(disk, [](const wire::MessageUnion& message) { return message.type == wire::Message::CopyStatus; });
-    site.wait(kSomeLooks);
+    site.wait(kSeveralChecks);
     site.release(disk);
-    site.wait(kSomeLooks);
+    site.wait(kSeveralChecks);
     if (site.said_completed(disk)) {
       site.depart(disk);
     }
-    site.wait(drawn(site, kLostWithin));
+    site.wait(drawn(site, kMaxLossDelay));
   });
 }
 
--- a/tests/object_store/pending_changes_test.cpp
+++ b/tests/object_store/pending_changes_test.cpp
@@ -23,7 +23,7 @@
   void run_for(Duration time) {
     for (Duration passed{}; passed < time; passed += 500ms) {
       environment.world.run_for(500ms);
-      changes.tell({"gateway-1, gateway-2", 4});
+      changes.log_due({"gateway-1, gateway-2", 4});
     }
   }
   TestEnvironment environment;
@@ -64,7 +64,7 @@
   CHECK(fixture.changes.wanted_for(2) == 4s);
   fixture.changes.note_wanted(2, change_to(6));
   CHECK(fixture.changes.wanted_for(2) == 0s);
-  fixture.changes.note_calm(2);
+  fixture.changes.note_unwanted(2);
   fixture.run_for(20s);
   CHECK(fixture.log.lines.size() == 1);
   CHECK(fixture.counters["ledger_group_changes_pending"] == 0);
--- a/tests/object_store/proposer_view_test.cpp
+++ b/tests/object_store/proposer_view_test.cpp
@@ -34,13 +34,13 @@
         std::make_unique<membership::Membership>(environment, counters, member("a"), std::vector<PeerAddress>{}, hooks);
   }
   /// Delivers a message from the member itself.
-  void hear(const wire::MemberT& sender) {
+  void receive_from(const wire::MemberT& sender) {
     wire::PingT ping;
     ping.sender = std::make_unique<wire::MemberT>(sender);
     members->handle(PeerAddress(sender.peer_address), ping);
   }
   /// Delivers a report about the member from another node.
-  void be_told(const wire::MemberT& about) {
+  void receive_report(const wire::MemberT& about) {
     wire::MemberSyncT sync;
     sync.members.push_back(std::make_unique<wire::MemberT>(about));
     members->handle(PeerAddress("z:1"), sync);
@@ -57,11 +57,11 @@
 
 TEST_CASE("a proposer's view has the state of the node of each named disk and the age of that information") {
   fixture node;
-  node.hear(member("b"));
+  node.receive_from(member("b"));
   node.environment.world.run_for(80ms);
   wire::MemberT leaver = member("c");
   leaver.retiring = true;
-  node.hear(leaver);
+  node.receive_from(leaver);
   node.environment.world.run_for(40ms);
   const proposer_view view = node.view({3, {kSelf, kB}, {kC}});
   CHECK(view.text() == "a/disk-a alive 0ms, b/disk-b alive 120ms, c/disk-c retiring 40ms");
@@ -71,20 +71,20 @@
 
 TEST_CASE("a proposer's view distinguishes information from other nodes from a member's own messages") {
   fixture node;
-  node.be_told(member("b"));
+  node.receive_report(member("b"));
   node.environment.world.run_for(70ms);
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b alive 70ms by others");
-  node.hear(member("b"));
+  node.receive_from(member("b"));
   node.environment.world.run_for(30ms);
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b alive 30ms");
   wire::MemberT dead = member("b");
   dead.state = wire::MemberState::Dead;
   dead.retiring = true;
-  node.be_told(dead);
+  node.receive_report(dead);
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b dead retiring 0ms by others");
   // A message of the member does not change its state before it refutes that state, but the age shows that it is alive.
   node.environment.world.run_for(90ms);
-  node.hear(member("b"));
+  node.receive_from(member("b"));
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b dead retiring 0ms");
 }
 
@@ -92,13 +92,13 @@
   fixture node;
   wire::MemberT other = member("b");
   other.disk_id = "disk-b2";
-  node.hear(other);
+  node.receive_from(other);
   CHECK(node.view({3, {kB}, {}}).text() == "b/disk-b alive with disk-b2 0ms");
 }
 
 TEST_CASE("a proposer's view with an unknown node has no age") {
   fixture node;
-  node.hear(member("b"));
+  node.receive_from(member("b"));
   const proposer_view view = node.view({3, {kB, kC}, {}});
   CHECK(view.text() == "b/disk-b alive 0ms, c/disk-c unknown");
   CHECK_FALSE(view.age());
--- a/tests/object_store/replacement_test.cpp
+++ b/tests/object_store/replacement_test.cpp
@@ -20,7 +20,7 @@
 const ReplicaIdentity kC{NodeId("c"), DiskId("disk-c")};
 
 /// An unavailable store; the decisions in these tests do not need it.
-class store_away : public object_store::PlatformClient {
+class unavailable_store : public object_store::PlatformClient {
  public:
   void watch_objects(std::uint64_t, Duration, object_store::ChangesDone done) override { refuse(done); }
   void watch_machines(std::uint64_t, Duration, object_store::ChangesDone done) override { refuse(done); }
@@ -96,11 +96,12 @@
     wire::CopyStatusT status;
     status.group = request.group;
     status.place_epoch = request.place_epoch;
-    status.consent = leaves.contains(request.offered->node) ? wire::PlaceConsent::Retiring : wire::PlaceConsent::Given;
+    status.consent =
+        leaving_nodes.contains(request.offered->node) ? wire::PlaceConsent::Retiring : wire::PlaceConsent::Given;
     core.controller->handle(to, status);
   }
   /// Runs while disks accept the places that they are offered and no member votes.
-  void run_with_places_taken(Duration time) {
+  void run_with_places_accepted(Duration time) {
     for (Duration passed{}; passed < time; passed += 50ms) {
       environment.world.run_for(50ms);
       for (const auto& message : std::exchange(environment.sent, {})) {
@@ -137,7 +138,7 @@
     }
   }
   /// @return the group after its members had time to decide.
-  ReplicaGroup after_a_while() {
+  ReplicaGroup group_after_votes() {
     const auto& groups = core.ledger.group_map().groups;
     for (int step = 0; step < 20 && groups.at(0).epoch == kEpoch; ++step) {
       environment.world.run_for(50ms);
@@ -146,19 +147,19 @@
     return groups.at(0);
   }
 
-  void run_answered(Duration time) {
+  void run_with_replies(Duration time) {
     for (Duration passed{}; passed < time; passed += 50ms) {
       environment.world.run_for(50ms);
       answer();
     }
   }
 
-  std::uint32_t c_number = 2;    ///< Index of member c in its group.
-  std::set<std::string> leaves;  ///< Nodes that are to be drained, which only they know.
+  std::uint32_t c_number = 2;           ///< Index of member c in its group.
+  std::set<std::string> leaving_nodes;  ///< Nodes that are to be drained, which only they know.
   TestEnvironment environment;
   Counters counters;
   FakeBackends backends;
-  store_away store;
+  unavailable_store store;
   kept_lines log;
   node::NodeCore core;
 };
@@ -170,7 +171,7 @@
   fixture.add(kA);
   fixture.add(kNewB);
   fixture.add(kC);
-  CHECK(fixture.after_a_while() == ReplicaGroup{kEpoch + 1, {kA, kNewB, kC}, {}});
+  CHECK(fixture.group_after_votes() == ReplicaGroup{kEpoch + 1, {kA, kNewB, kC}, {}});
 }
 
 // A node that had lost its disk was requested to leave before its new disk was in its groups (fleet runner,
@@ -181,7 +182,7 @@
   fixture.add(kA);
   fixture.add(kNewB, true);
   fixture.add(kC);
-  CHECK(fixture.after_a_while() == ReplicaGroup{kEpoch + 1, {kA, kC}, {}});
+  CHECK(fixture.group_after_votes() == ReplicaGroup{kEpoch + 1, {kA, kC}, {}});
 }
 
 TEST_CASE("another node takes the place of a lost disk whose node is to leave") {
@@ -191,19 +192,19 @@
   fixture.add(kNewB, true);
   fixture.add(kC);
   fixture.add(d);
-  CHECK(fixture.after_a_while() == ReplicaGroup{kEpoch + 1, {kA, d, kC}, {}});
+  CHECK(fixture.group_after_votes() == ReplicaGroup{kEpoch + 1, {kA, d, kC}, {}});
 }
 
 // A member had permanently left its group of three; a gateway that did not know yet that it was to leave added it again
 // as the third member, and after the next lost disk one member of three was left (fleet runner, --faults=losses, seed
 // 221).
-TEST_CASE("a member that leaves its group is not added again by a maintainer that does not know why it left") {
+TEST_CASE("a member that leaving_nodes its group is not added again by a maintainer that does not know why it left") {
   maintainer_fixture fixture({kEpoch, {kA, kC}, {kNewB}});
   fixture.c_number = 1;
   fixture.add(kA);
   fixture.add(kNewB);
   fixture.add(kC);
-  CHECK(fixture.after_a_while().epoch == kEpoch);
+  CHECK(fixture.group_after_votes().epoch == kEpoch);
 }
 
 // A maintainer that thaws, or starts with an outdated list of members, knows neither that a disk is to be drained nor
@@ -211,23 +212,23 @@
 TEST_CASE("a disk that is to be drained is not named by a maintainer that does not know of it") {
   maintainer_fixture fixture({kEpoch, {kA, kC}, {}});
   fixture.c_number = 1;
-  fixture.leaves = {kNewB.node.str()};
+  fixture.leaving_nodes = {kNewB.node.str()};
   fixture.add(kA);
   fixture.add(kNewB);
   fixture.add(kC);
-  CHECK(fixture.after_a_while().epoch == kEpoch);
+  CHECK(fixture.group_after_votes().epoch == kEpoch);
 }
 
 TEST_CASE("another node is asked if one refuses the place of a lost disk") {
   const ReplicaIdentity d{NodeId("d"), DiskId("disk-d")};
   maintainer_fixture fixture({kEpoch, {kA, kC}, {}});
   fixture.c_number = 1;
-  fixture.leaves = {kNewB.node.str()};
+  fixture.leaving_nodes = {kNewB.node.str()};
   fixture.add(kA);
   fixture.add(kNewB);
   fixture.add(kC);
   fixture.add(d);
-  CHECK(fixture.after_a_while().replicas == std::vector<ReplicaIdentity>{kA, kC, d});
+  CHECK(fixture.group_after_votes().replicas == std::vector<ReplicaIdentity>{kA, kC, d});
 }
 
 TEST_CASE("another node takes the place of a member that has left its group") {
@@ -238,7 +239,7 @@
   fixture.add(kNewB);
   fixture.add(kC);
   fixture.add(d);
-  CHECK(fixture.after_a_while().replicas == std::vector<ReplicaIdentity>{kA, kC, d});
+  CHECK(fixture.group_after_votes().replicas == std::vector<ReplicaIdentity>{kA, kC, d});
 }
 
 TEST_CASE("a controller that is not to make a change logs that it is wanted and not made") {
@@ -261,8 +262,8 @@
   fixture.add(kNewB);
   fixture.add(kC);
   fixture.add_maintainers();
-  CHECK(fixture.after_a_while().epoch == kEpoch);
-  fixture.run_answered(8s);
+  CHECK(fixture.group_after_votes().epoch == kEpoch);
+  fixture.run_with_replies(8s);
   CHECK(fixture.core.ledger.group_map().groups.at(0) == ReplicaGroup{kEpoch + 1, {kA, kNewB, kC}, {}});
   CHECK(fixture.log.count("group_change_taken_up") == 1);
 }
@@ -274,7 +275,7 @@
   fixture.add(kC);
   fixture.add(d);
   fixture.add_maintainers();
-  fixture.run_answered(300s);
+  fixture.run_with_replies(300s);
   CHECK(fixture.core.ledger.group_map().groups.at(0).epoch == kEpoch);
   CHECK(fixture.log.count("group_change_pending") > 0);
   CHECK(fixture.log.lines.back().find("reason=b/disk-b missing") != std::string::npos);
@@ -301,7 +302,7 @@
   fixture.add(kA);
   fixture.add(kNewB);
   fixture.add(kC);
-  REQUIRE(fixture.after_a_while().epoch == kEpoch + 1);
+  REQUIRE(fixture.group_after_votes().epoch == kEpoch + 1);
   const std::string line = only_line_of(fixture.log, "group_changed");
   CHECK(has(line, "from_epoch=2 epoch=3 outcome=decided ground= proposer=self as_asked=true"));
   CHECK(has(line, "reason=b/disk-b disk_replaced"));
@@ -317,7 +318,7 @@
   fixture.add(kA);
   fixture.add(kNewB);
   fixture.add(kC);
-  fixture.run_with_places_taken(4800ms);
+  fixture.run_with_places_accepted(4800ms);
   const std::string line = only_line_of(fixture.log, "group_changed");
   CHECK(has(line, "from_epoch=2 epoch=2 outcome=unavailable ground=silent proposer=self as_asked=false"));
   CHECK(has(line, "members=a/disk-a, b/disk-b2, c/disk-c"));
@@ -328,11 +329,11 @@
 
 TEST_CASE("an epoch whose new member does not consent is logged as refused by that disk") {
   maintainer_fixture fixture;
-  fixture.leaves = {kNewB.node.str()};
+  fixture.leaving_nodes = {kNewB.node.str()};
   fixture.add(kA);
   fixture.add(kNewB);
   fixture.add(kC);
-  REQUIRE(fixture.after_a_while().epoch == kEpoch);
+  REQUIRE(fixture.group_after_votes().epoch == kEpoch);
   const auto line = std::find_if(fixture.log.lines.begin(), fixture.log.lines.end(),
                                  [](const auto& text) { return text.starts_with("group_changed "); });
   REQUIRE(line != fixture.log.lines.end());
@@ -345,7 +346,7 @@
   maintainer_fixture fixture({kEpoch, {kA, kC}, {}});
   fixture.c_number = 1;
   fixture.add(kA);
-  fixture.run_with_places_taken(70s);
+  fixture.run_with_places_accepted(70s);
   REQUIRE(fixture.log.count("group_changed") > 0);
   const auto line = std::find_if(fixture.log.lines.begin(), fixture.log.lines.end(),
                                  [](const auto& text) { return text.starts_with("group_changed "); });
--- a/tests/object_store/sole_deciders_test.cpp
+++ b/tests/object_store/sole_deciders_test.cpp
@@ -15,13 +15,13 @@
 const ledger::ReplicaIdentity kB{NodeId("b"), DiskId("disk-b")};
 
 /// A store that may be unavailable, and whose replies may be lost.
-class troubled_store : public PlatformClient {
+class unreliable_store : public PlatformClient {
  public:
-  explicit troubled_store(TestEnvironment& environment) : environment_(environment), table(environment) {}
+  explicit unreliable_store(TestEnvironment& environment) : environment_(environment), table(environment) {}
   void watch_objects(std::uint64_t, Duration, ChangesDone) override {}
   void watch_machines(std::uint64_t, Duration, ChangesDone) override {}
   void get(const config::EntryKey& key, GetDone done) override {
-    if (silent_reads) {
+    if (drop_reads) {
       return;
     }
     environment_.after(1ms, [this, key, done] {
@@ -34,7 +34,7 @@
     });
   }
   void put(const PutRequest& request, PutDone done) override {
-    if (silent_writes) {
+    if (drop_writes) {
       return;
     }
     environment_.after(1ms, [this, request, done] {
@@ -50,8 +50,8 @@
   emulator::WatchedTable table;
   int lose_answers = 0;
   bool away = false;
-  bool silent_reads = false;   ///< Reads get no reply, not even an error.
-  bool silent_writes = false;  ///< Writes get no reply, not even an error.
+  bool drop_reads = false;   ///< Reads get no reply, not even an error.
+  bool drop_writes = false;  ///< Writes get no reply, not even an error.
 };
 
 struct decider_fixture {
@@ -63,7 +63,7 @@
   }
   TestEnvironment environment;
   Counters counters;
-  troubled_store store{environment};
+  unreliable_store store{environment};
   Declarations declarations{environment, counters, store};
   sole_deciders deciders{environment, declarations, store};
 };
@@ -105,16 +105,16 @@
 // forever.
 TEST_CASE("a request for a grant ends even if the store never replies") {
   decider_fixture fixture;
-  fixture.store.silent_writes = true;
+  fixture.store.drop_writes = true;
   const auto unwritten = fixture.ask(kA);
   REQUIRE(unwritten);
   CHECK_FALSE(succeeded(*unwritten));
-  fixture.store.silent_writes = false;
+  fixture.store.drop_writes = false;
   REQUIRE(succeeded(*fixture.ask(kA)));
-  fixture.store.silent_reads = true;
+  fixture.store.drop_reads = true;
   const auto unread = fixture.ask(kA);
   REQUIRE(unread);
   CHECK_FALSE(succeeded(*unread));
-  fixture.store.silent_reads = false;
+  fixture.store.drop_reads = false;
   CHECK(succeeded(*fixture.ask(kA)));
 }
