--- a/src/object_store/declarations.cpp
+++ b/src/object_store/declarations.cpp
@@ -4,10 +4,10 @@
 
 namespace madderdeck::object_store {
 namespace {
-constexpr Duration kSettleTime = 5s;
-constexpr Duration kRetryPause = 200ms;
-/// Beyond that an answer is not waited for: a client of the store tells of a failed call within it.
-constexpr Duration kAnswerTime = 4s;
+constexpr Duration kSettleTimeout = 5s;
+constexpr Duration kRetryDelay = 200ms;
+/// Additional wait for a missing reply; a client of the store reports a failed call within this time.
+constexpr Duration kReplyTimeout = 4s;
 }  // namespace
 
 Declarations::Declarations(Environment& environment, Counters& counters, PlatformClient& platform,
@@ -17,15 +17,15 @@
 void Declarations::declare(PutRequest request, Done done) {
   const ChangeNumber number = ++next_;
   request.change_id = hex64(environment_.random()) + hex64(environment_.random());
-  pending_.emplace(number, Pending{std::move(request), std::move(done), environment_.now() + kSettleTime, false});
-  environment_.after(kSettleTime + kAnswerTime, lifetime_.guard([this, number] { end_unanswered(number); }));
+  pending_.emplace(number, Pending{std::move(request), std::move(done), environment_.now() + kSettleTimeout, false});
+  environment_.after(kSettleTimeout + kReplyTimeout, lifetime_.guard([this, number] { end_unanswered(number); }));
   try_put(number);
 }
 
 void Declarations::end_unanswered(ChangeNumber number) {
   if (pending_.contains(number)) {
     counters_["declarations_unanswered_total"]++;
-    finish(number, Error{ErrorKind::ambiguous, "the platform's store has not answered at all"});
+    finish(number, Error{ErrorKind::ambiguous, "the platform's store did not reply"});
   }
 }
 
@@ -51,7 +51,7 @@
       pending.maybe_applied = true;
       retry(number, &Declarations::read_back);
     } else if (kind == ErrorKind::conflict && pending.maybe_applied) {
-      read_back(number);  // the conflict may be with our own earlier write
+      read_back(number);  // the conflict may be with this change's own earlier write
     } else if (kind == ErrorKind::unavailable) {
       retry(number, &Declarations::try_put);
     } else {
@@ -80,11 +80,11 @@
         }
         const std::uint64_t standing = stored && !stored->entry.deleted ? stored->entry.revision : 0;
         if (standing == pending.request.expected_revision) {
-          // Not applied yet; the same compare-and-set again can take effect only once.
+          // Not applied yet; repeating the same compare-and-set can take effect only once.
           retry(number, &Declarations::try_put);
           return;
         }
-        // Another write stands; ours may have been under it for a moment.
+        // Another write is current; this one may have been applied and overwritten.
         finish(number, Error{ErrorKind::ambiguous, "another change stands at revision " + std::to_string(standing) +
                                                        "; this one may have preceded it"});
       }));
@@ -92,12 +92,12 @@
 
 void Declarations::retry(ChangeNumber number, void (Declarations::*step)(ChangeNumber)) {
   Pending& pending = pending_.at(number);
-  if (environment_.now() + kRetryPause >= pending.deadline) {
+  if (environment_.now() + kRetryDelay >= pending.deadline) {
     const ErrorKind kind = pending.maybe_applied ? ErrorKind::ambiguous : ErrorKind::unavailable;
     finish(number, Error{kind, "the platform's store does not answer"});
     return;
   }
-  environment_.after(kRetryPause, lifetime_.guard([this, number, step] {
+  environment_.after(kRetryDelay, lifetime_.guard([this, number, step] {
     if (pending_.contains(number)) {
       (this->*step)(number);
     }
--- a/src/object_store/proposal_journal.cpp
+++ b/src/object_store/proposal_journal.cpp
@@ -17,7 +17,7 @@
                                    const membership::Membership& members)
     : environment_(environment), counters_(counters), log_(log), members_(members) {
   for (const ledger::refusal_ground ground : ledger::kRefusalGrounds) {
-    counters_[counter_of(ground)] += 0;  // shown before the first one, so that its growth is seen
+    counters_[counter_of(ground)] += 0;  // exported from the start, so that the first increment is visible
   }
 }
 
@@ -29,18 +29,18 @@
   open_[group].votes = votes;
 }
 
-void proposal_journal::tell(std::uint32_t group, const ledger::epoch_change& asked,
-                            const Result<ledger::ReplicaGroup>& result) {
+void proposal_journal::log_outcome(std::uint32_t group, const ledger::epoch_change& asked,
+                                   const Result<ledger::ReplicaGroup>& result) {
   const proposal how = take(group);
   const auto ground = succeeded(result) ? ledger::refusal_ground::none : ledger::ground_of(error_of(result), how.votes);
   record(group, asked, result, ground, how);
 }
 
-void proposal_journal::tell_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
+void proposal_journal::log_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
   record(group, asked, why, ledger::refusal_ground::candidate, take(group));
 }
 
-void proposal_journal::tell_not_let(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
+void proposal_journal::log_not_granted(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
   record(group, asked, why, ledger::refusal_ground::store, take(group));
 }
 
--- a/tests/object_store/sole_deciders_test.cpp
+++ b/tests/object_store/sole_deciders_test.cpp
@@ -14,14 +14,14 @@
 const ledger::ReplicaIdentity kA{NodeId("a"), DiskId("disk-a")};
 const ledger::ReplicaIdentity kB{NodeId("b"), DiskId("disk-b")};
 
-/// A store that may be away, and whose answers may be lost.
-class troubled_store : public PlatformClient {
+/// A store that may be unavailable, and whose replies may be lost.
+class unreliable_store : public PlatformClient {
  public:
-  explicit troubled_store(TestEnvironment& environment) : environment_(environment), table(environment) {}
+  explicit unreliable_store(TestEnvironment& environment) : environment_(environment), table(environment) {}
   void watch_objects(std::uint64_t, Duration, ChangesDone) override {}
   void watch_machines(std::uint64_t, Duration, ChangesDone) override {}
   void get(const config::EntryKey& key, GetDone done) override {
-    if (silent_reads) {
+    if (drop_reads) {
       return;
     }
     environment_.after(1ms, [this, key, done] {
@@ -34,7 +34,7 @@
     });
   }
   void put(const PutRequest& request, PutDone done) override {
-    if (silent_writes) {
+    if (drop_writes) {
       return;
     }
     environment_.after(1ms, [this, request, done] {
@@ -50,8 +50,8 @@
   emulator::WatchedTable table;
   int lose_answers = 0;
   bool away = false;
-  bool silent_reads = false;   ///< They are never answered, not even with a failure.
-  bool silent_writes = false;  ///< The same of writes.
+  bool drop_reads = false;   ///< Reads get no reply, not even an error.
+  bool drop_writes = false;  ///< Writes get no reply, not even an error.
 };
 
 struct decider_fixture {
@@ -63,14 +63,14 @@
   }
   TestEnvironment environment;
   Counters counters;
-  troubled_store store{environment};
+  unreliable_store store{environment};
   Declarations declarations{environment, counters, store};
   sole_deciders deciders{environment, declarations, store};
 };
 
 }  // namespace
 
-TEST_CASE("of two members one is named the sole decider of an epoch, and stays so") {
+TEST_CASE("one of two members is named the sole decider of an epoch, permanently") {
   decider_fixture fixture;
   REQUIRE(succeeded(*fixture.ask(kA)));
   const auto other = fixture.ask(kB);
@@ -79,20 +79,20 @@
   CHECK(succeeded(*fixture.ask(kA)));
 }
 
-TEST_CASE("each epoch has a decider of its own") {
+TEST_CASE("each epoch has its own sole decider") {
   decider_fixture fixture;
   REQUIRE(succeeded(*fixture.ask(kA, 7)));
   CHECK(succeeded(*fixture.ask(kB, 8)));
 }
 
-TEST_CASE("a lost answer of the store neither grants twice nor loses the grant") {
+TEST_CASE("a lost reply of the store neither grants twice nor loses the grant") {
   decider_fixture fixture;
   fixture.store.lose_answers = 1;
   CHECK(succeeded(*fixture.ask(kA)));
   CHECK_FALSE(succeeded(*fixture.ask(kB)));
 }
 
-TEST_CASE("while the store is away nobody is granted, later somebody is") {
+TEST_CASE("no member is granted the decision while the store is unavailable, and one is afterwards") {
   decider_fixture fixture;
   fixture.store.away = true;
   CHECK_FALSE(succeeded(*fixture.ask(kA)));
@@ -101,19 +101,20 @@
   CHECK_FALSE(succeeded(*fixture.ask(kA)));
 }
 
-// By reading: who asks holds its group back until the answer comes, so without one it would for good.
-TEST_CASE("a store that answers nothing at all leaves nobody waiting for a grant for good") {
+// The requester does not change the group until the reply arrives, so without a reply it would wait
+// forever.
+TEST_CASE("a request for a grant ends even if the store never replies") {
   decider_fixture fixture;
-  fixture.store.silent_writes = true;
+  fixture.store.drop_writes = true;
   const auto unwritten = fixture.ask(kA);
   REQUIRE(unwritten);
   CHECK_FALSE(succeeded(*unwritten));
-  fixture.store.silent_writes = false;
+  fixture.store.drop_writes = false;
   REQUIRE(succeeded(*fixture.ask(kA)));
-  fixture.store.silent_reads = true;
+  fixture.store.drop_reads = true;
   const auto unread = fixture.ask(kA);
   REQUIRE(unread);
   CHECK_FALSE(succeeded(*unread));
-  fixture.store.silent_reads = false;
+  fixture.store.drop_reads = false;
   CHECK(succeeded(*fixture.ask(kA)));
 }
