--- a/tests/ledger/epoch_model.hpp
+++ b/tests/ledger/epoch_model.hpp
@@ -1,8 +1,8 @@
 #pragma once
-/// @file A model of one replica group: who is a member in which epoch, what each disk knows and holds. Small enough to
-/// look at every state that a few faults can bring about. Who belongs to the next epoch and who must agree on it is the
-/// product's own rule; how a replica admits, fences and copies is told here again, and epoch_model_test.cpp holds each
-/// of these rules against the real class.
+/// @file A model of one replica group: the members of each epoch, and what each disk knows and holds. It is small
+/// enough to visit every state that a few faults can lead to. The members of the next epoch and the votes that it needs
+/// come from the production code; how a replica admits, fences and copies is modelled here a second time, and
+/// epoch_model_test.cpp checks each of these rules against the real class.
 
 #include <cstdint>
 #include <optional>
@@ -11,92 +11,93 @@
 
 namespace madderdeck::tests {
 
-/// Which former members a group keeps, so that no voter lets them in again.
+/// Which former members a group records, so that no voter accepts them as members again.
 enum class departed_rule {
   forgotten,
-  kept_where_gone,  ///< Those that the proposer knew to be emptied, or to have lost their disk.
+  kept_where_gone,  ///< Those that the proposer knew to be drained, or to have lost their disk.
   all_kept,
 };
 
-/// What a maintainer may have missed that proposes beside those who know the fleet.
+/// Which changes of the fleet one maintainer may have missed, while other maintainers know all of them.
 enum class earlier_view {
   none,
-  of_one_moment,      ///< Everything since some moment.
-  of_single_changes,  ///< Any changes, while it heard of others.
+  of_one_moment,      ///< All changes since some moment.
+  of_single_changes,  ///< Any single changes, while it has received others.
 };
 
-/// The rules of a replica and of those who look after groups. Each one turned off is a model that has to fail.
+/// The rules of replicas and of the maintainers of groups. A model with any one of them turned off has to fail.
 struct model_rules {
   bool copy_before_voting = true;  ///< A disk that joins has copied from all other members before it votes.
-  /// A disk whose place was taken meanwhile copies again before it votes.
+  /// A disk that returns after another one held its place in an epoch copies again before it votes.
   bool copy_when_back = true;
-  /// Members of a group that has fewer of them than before copy from each other.
+  /// Members copy from each other when the group has fewer members than in the previous epoch.
   bool copy_when_fewer = true;
   bool fence_old_epochs = true;
-  bool one_sole_decider = true;  ///< The store names one of a pair, never both.
-  /// A disk that joins has what leaving members held: from them, or from a member that has copied it.
+  bool one_sole_decider = true;  ///< The store names one member of a pair as the sole decider, never both.
+  /// A disk that joins copies what leaving members held, from them or from a member that has copied it.
   bool wait_for_leaving = true;
-  bool members_tell_epoch = true;  ///< Members that start tell the epoch that their disks know.
+  bool members_tell_epoch = true;  ///< Members that start report the latest epoch stored on their disks.
   /// Members vote on the next epoch whatever they hold, where one of them is whole.
   bool whole_members_decide = true;
-  bool decide_only_with_all_records = true;  ///< Who decides holds every confirmed record, together or one of them.
-  bool compare_in_each_epoch = true;         ///< A member is whole only by a copy in the present epoch.
-  /// A disk that is to be emptied goes only once as many others as the losses ask for hold everything.
+  /// The deciding members hold every confirmed record, together or in one of them.
+  bool decide_only_with_all_records = true;
+  bool compare_in_each_epoch = true;  ///< A member is whole only after a copy in the current epoch.
+  /// A draining disk is removed only once enough other disks hold everything to tolerate the configured losses.
   bool leave_enough_copies = true;
-  /// Who stands among the leaving members takes no place as any free disk does.
+  /// A leaving member is not chosen as a free disk for a vacant place.
   bool leaving_are_no_substitutes = true;
   departed_rule departed = departed_rule::forgotten;
-  /// A disk becomes a member of an epoch only if its machine said so for it: it is up, and is not to be emptied or the
-  /// last that can come back.
+  /// A disk becomes a member of an epoch only if its machine consented to that: the machine is up, and it is not
+  /// draining or is the last one that can come back.
   bool candidates_consent = true;
-  bool consent_for_one_epoch = true;  ///< It holds for one number.
-  /// The word of one that is to be emptied holds for coming back beside the one that is left of a pair, and no more.
+  bool consent_for_one_epoch = true;  ///< A consent is valid for one epoch number.
+  /// The consent of a draining machine is valid only for its return beside the remaining member of a pair.
   bool consent_for_what_was_asked = true;
-  bool consents_are_durable = true;  ///< A machine knows after a start what it agreed to.
-  /// A machine that agreed is not emptied before it knows an epoch of that number or a later one.
+  bool consents_are_durable = true;  ///< A machine keeps its consents over a restart.
+  /// A machine that consented to an epoch is not drained before it knows that epoch or a later one.
   bool consent_holds_up_emptying = true;
-  /// Where nobody wants that epoch, the same members decide it once more.
+  /// Where no other change needs that epoch, it is decided with the same members, so that the consent ends.
   bool unused_consents_end = true;
-  bool given_up_may_answer = true;   ///< An answer of a member that would be given up ends the decision.
-  bool obsolete_disks_known = true;  ///< A maintainer does not take a disk for there that the group has seen replaced.
+  bool given_up_may_answer = true;   ///< A reply of the member that is to be given up aborts the decision.
+  bool obsolete_disks_known = true;  ///< A maintainer does not count a disk as present that the group has replaced.
 };
 
-/// What is searched.
+/// The bounds of a search.
 struct model_scope {
-  unsigned disks = 3;      ///< Of as many machines; all of them are founding members.
-  unsigned further = 0;    ///< Machines with a disk that hold nothing of the group at first.
-  unsigned spares = 0;     ///< Machines that start when one is gone.
-  unsigned tolerated = 1;  ///< Disks that may be lost until everything has been copied again.
+  unsigned disks = 3;      ///< Founding members, each on a machine of its own.
+  unsigned further = 0;    ///< Machines with a disk that holds no record of the group at first.
+  unsigned spares = 0;     ///< Machines that start when another one is gone.
+  unsigned tolerated = 1;  ///< Disks that may be lost before everything has been copied again.
   unsigned faults = 3;     ///< In one path.
   unsigned writes = 1;     ///< Records confirmed in one path.
   bool retirements = false;
-  /// Machines that hold nothing of the group are emptied, too, and go at once.
+  /// Machines that hold no record of the group are drained, too, and leave at once.
   bool others_emptied = false;
   bool store_away = false;
-  /// Changes of the group may be proposed by one that knows its epoch and believes the fleet to be as it was.
+  /// Epochs may be proposed by a maintainer that knows the latest epoch but has an outdated view of the fleet.
   earlier_view earlier_views = earlier_view::none;
-  /// Members that are silent are taken for gone, as a long silence makes it.
+  /// Unresponsive members count as gone, as after a long time without a reply.
   bool silent_replaced = true;
-  /// Fewer states, for more disks: a decision is heard by all that are up, and a disk copies from all that are there
-  /// at once.
+  /// Reduces the number of states, so that more disks can be modelled: all processes that are up learn of a decision at
+  /// once, and a disk copies from all present members in one step.
   bool coarse = false;
-  std::size_t most_states = 4'000'000;  ///< The search fails when there are more.
+  std::size_t most_states = 4'000'000;  ///< The search stops as incomplete when there are more.
 };
 
-/// What a search found.
+/// The result of a search.
 struct model_result {
   std::size_t states = 0;
-  std::size_t quiet_states = 0;  ///< Of them looked at for whether all comes back.
-  bool complete = true;          ///< Every state was looked at.
+  std::size_t quiet_states = 0;  ///< States that were also checked for recovery once everything is back.
+  bool complete = true;          ///< Every state was visited.
   std::string violation;         ///< Empty when there is none.
   std::vector<std::string> path;
 };
 
-/// Looks at every state, the shortest paths first, until one breaks a promise: no group without a majority of admitted
-/// members once all processes and the store are back; no confirmed record out of sight of a majority that answers; no
-/// two descriptions of one epoch; no disk emptied and taken away that leaves a record on fewer disks than the losses
-/// ask for; no epoch that names a disk whose machine was emptied and taken away, before or after; no machine that is
-/// never emptied for the sake of an epoch that does not come.
+/// Visits every state, breadth first, until one violates an invariant: a group has a majority of admitted members once
+/// all processes and the store are back; a majority that answers holds every confirmed record; an epoch has one
+/// description; removing a drained disk leaves each record on enough disks for the tolerated losses; no epoch names a
+/// disk whose machine was drained and removed, before or after; no machine waits with its draining for an epoch that is
+/// never decided.
 model_result search(const model_scope& scope, const model_rules& rules);
 
 }  // namespace madderdeck::tests
--- a/tests/ledger/place_consents_test.cpp
+++ b/tests/ledger/place_consents_test.cpp
@@ -1,4 +1,4 @@
-/// A disk becomes a member of a replica group only by its own word, which it does not forget.
+/// A disk becomes a member of a replica group only with its own consent, which is stored durably.
 #include "ledger/place_consents.hpp"
 
 #include <catch2/catch.hpp>
@@ -22,7 +22,7 @@
 const ReplicaIdentity kNewC{NodeId("c"), DiskId("disk-c2")};
 constexpr std::uint64_t kDecided = 4;
 
-/// The disk of node c, whose group others hold.
+/// The disk of node c, which is no member of the group.
 struct spare_disk {
   spare_disk() {
     process.start();
@@ -68,8 +68,8 @@
 
 }  // namespace
 
-// A maintainer that had not heard that a disk is to be emptied named it again; the disk was taken away, and the loss of
-// another one left one member of three.
+// Guards against a maintainer with an outdated view that names a draining disk again: the disk is removed, and the loss
+// of another one leaves one member of three.
 TEST_CASE("a disk that is to be emptied takes no place, but where a group has no other disk") {
   spare_disk disk;
   disk.hear_of(kDecided);
@@ -79,7 +79,7 @@
   CHECK(disk.offer(kDecided + 1, true) == PlaceConsent::Given);
 }
 
-// The epoch may name it: decided by others with what its proposer had sent before it went away.
+// Others may still decide the epoch with the messages that its proposer sent before it became unreachable.
 TEST_CASE("a disk that has consented to a place is not emptied before it knows whether that epoch names it") {
   spare_disk disk;
   disk.hear_of(kDecided);
@@ -98,7 +98,7 @@
   }
 }
 
-TEST_CASE("a consent lasts through a loss of power") {
+TEST_CASE("a consent survives a power loss") {
   spare_disk disk;
   disk.hear_of(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
@@ -109,7 +109,7 @@
   CHECK_FALSE(disk.may_go());
 }
 
-TEST_CASE("a disk that was emptied takes no place after a restart, whatever it hears") {
+TEST_CASE("a drained disk takes no place after a restart, whatever it receives") {
   spare_disk disk;
   disk.hear_of(kDecided);
   REQUIRE(disk.note_emptied());
@@ -149,9 +149,9 @@
   CHECK(disk.environment.sent.back().body.AsCopyStatus()->consent == PlaceConsent::NotAsked);
 }
 
-// A gateway that had been cut off had one of a pair decide alone without the other one, which was there; that disk was
-// lost next.
-TEST_CASE("one of a pair does not decide alone while it knows the other one to be there") {
+// Guards against a sole decision made while both members of a pair are reachable: a gateway that had been disconnected
+// had one of them decide alone, and that disk was lost next.
+TEST_CASE("one of a pair does not decide alone while it knows that the other one is reachable") {
   spare_disk disk;
   disk.hear_of(kDecided);
   wire::CopyStatusRequestT request;
@@ -175,7 +175,7 @@
   CHECK(disk.replica->open_places().empty());
 }
 
-TEST_CASE("a member is not given up as silent by the vote of one that knows it to be there") {
+TEST_CASE("a member is not given up as unresponsive by the vote of one that knows that it is reachable") {
   spare_disk disk;
   disk.replica->on_group_map({{{1, {kA, kB, kC}, {}}}});
   bool there = true;
@@ -207,8 +207,8 @@
   CHECK_FALSE(disk.may_go());
 }
 
-// The platform's word that the disk stays came while the disk did not answer yet.
-TEST_CASE("a disk that stays takes places, also where its mark is read after that was told") {
+// Guards against an ignored message of the platform that the disk stays, received before the disk could be read.
+TEST_CASE("a disk that stays takes places, also where its draining mark is read after the platform's message") {
   spare_disk disk;
   disk.hear_of(kDecided);
   REQUIRE(disk.note_emptied());
--- a/tests/ledger/refused_writes_test.cpp
+++ b/tests/ledger/refused_writes_test.cpp
@@ -1,7 +1,7 @@
-/// Nodes that ended by themselves as soon as their disk was full: "Assertion `sync_without_flush_called_' failed"
-/// within the database. The kernel's own calls are refused here, below everything that the database does: its own file
-/// for messages ended the process with the second line that it could not write. Files that a test hands to the database
-/// never met it, since the database opens that one by itself.
+/// Guards against processes that abort when their disk is full: "Assertion `sync_without_flush_called_' failed" within
+/// the database. System calls are made to fail here, below everything that the database does, since its info log
+/// aborted the process with the second line that could not be written. A file system that a test passes to the database
+/// does not show this, as the database opens the info log itself.
 #include <catch2/catch.hpp>
 
 #include <unistd.h>
@@ -29,11 +29,11 @@
 
 constexpr char kDiskVariable[] = "MADDERDECK_TEST_DISK";
 constexpr auto kStuck = 30s;
-constexpr std::size_t kValueBytes = 300'000;  ///< So that tables are written, too.
+constexpr std::size_t kValueBytes = 300'000;  ///< Large enough that tables are written, too.
 constexpr unsigned kValuesAtOnce = 20;
 constexpr unsigned kRounds = 3;
 
-/// One thread that runs tasks in their order, some after a while.
+/// One thread that runs tasks in their order, some after a delay.
 class task_thread {
  public:
   task_thread() : thread_([this] { run(); }) {}
@@ -73,7 +73,7 @@
 
 std::string binaries() { return std::filesystem::read_symlink("/proc/self/exe").parent_path().string(); }
 
-/// Writes batches until each @p batches has been confirmed, whatever is refused meanwhile.
+/// Writes until each of @p batches is confirmed, and retries those whose write is refused.
 class confirming_writer {
  public:
   explicit confirming_writer(const std::string& folder) {
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-// Runs in a process of its own, started by the test below.
+// Runs in a child process that the test below starts.
 TEST_CASE("writes go on as long as the disk allows", "[.][child]") {
   const char* folder = std::getenv(kDiskVariable);
   if (folder == nullptr) {
--- a/tests/ledger/sole_decision_test.cpp
+++ b/tests/ledger/sole_decision_test.cpp
@@ -1,4 +1,4 @@
-/// Of a group with two members the one that the platform named decides the next epoch alone.
+/// In a group with two members, the one that the platform named sole decider decides the next epoch alone.
 #include <catch2/catch.hpp>
 
 #include "ledger/client.hpp"
@@ -21,7 +21,7 @@
     map.groups.push_back({3, {kA, kB}, {}});
     client.on_group_map(map);
   }
-  /// Answers every question that @p number has been asked since the last call, as an empty replica would.
+  /// Answers every request sent to replica @p number since the last call, as an empty replica would.
   void answer_as(std::uint32_t number) {
     const std::string node = number == kNumberOfA ? "a" : "b";
     const auto sent = std::exchange(environment.sent, {});
@@ -87,15 +87,15 @@
   CHECK_FALSE(decided(fixture.outcome));
 }
 
-TEST_CASE("the other member's word does not count for it, though it may be heard again") {
+TEST_CASE("the other member's answer does not count as the sole decider's, though it may be reachable again") {
   pair_fixture fixture;
   fixture.responder = kNumberOfB;
   fixture.decide({1, kA});
   CHECK_FALSE(decided(fixture.outcome));
 }
 
-// By reading: the question went on in the later epoch, by the narrower rule of the earlier one.
-TEST_CASE("a decision that its group has left behind is dropped, and asks nobody of the later epoch") {
+// Guards against a decision that continues in a later epoch under the narrower quorum rule of the earlier one.
+TEST_CASE("a decision for an epoch that its group has passed is dropped, and asks no member of the later epoch") {
   pair_fixture fixture;
   fixture.responder = 5;  // nobody answers
   fixture.decide({1, kA});
@@ -111,12 +111,11 @@
   CHECK_FALSE(succeeded(*fixture.outcome));
 }
 
-// Five nodes with a disk, two of which may be lost at once: one was emptied and taken away, which left groups of four.
-// Then two disks were lost while all others lost power, and no job could be read any more, for good: a group of four
-// has no majority without three. What it confirmed stands on three members, so that each of the two that are left,
-// together with the other, knows of everything; but they were not allowed to name the new disks. Settled by
-// 'group_changed' with 'unavailable' without end on four of fourteen runs with real processes, each of them with an
-// emptied node before.
+// Guards against groups that stay without a majority for good. Of five nodes with a disk, two of which may be lost at
+// once, one was drained and removed, which left groups of four. Then two disks were lost while all others lost power:
+// a group of four has no majority without three. What it confirmed is on three members, so the two that are left hold
+// all of it together, but they were not allowed to decide an epoch with the new disks. It failed in four of fourteen
+// runs with real processes: 'group_changed' was logged with 'unavailable' without end, and no job could be read.
 TEST_CASE("of a group of four the two members that are left decide once the disk of another one is proven lost") {
   constexpr std::size_t kMembers = 4;
   TestEnvironment environment;
@@ -157,13 +156,13 @@
   CHECK(decided(outcome));
 }
 
-TEST_CASE("whoever decides a group's next epoch shares a member with everybody else who may") {
+TEST_CASE("any two quorums that may decide a group's next epoch share a member") {
   for (std::size_t members = 1; members <= 7; ++members) {
     const std::size_t majority = members / 2 + 1;
     CHECK(decision_quorum(members, false) == majority);
     const std::size_t fewer = decision_quorum(members, true);
-    CHECK(2 * fewer > members - 1);     // two that know of the loss: the lost one takes no part
-    CHECK(fewer + majority > members);  // and one that does not
+    CHECK(2 * fewer > members - 1);     // both quorums know of the loss, so the lost member is in neither
+    CHECK(fewer + majority > members);  // one of the quorums does not know of the loss
     CHECK((members % 2 == 0) == (fewer < majority));
   }
 }
@@ -178,7 +177,7 @@
   wire::ReplicaStatus status = wire::ReplicaStatus::Granted;
 };
 
-/// @return what comes of a decision on a group of three where only these members answer.
+/// @return the outcome of a decision in a group of three where only these members answer.
 std::optional<Result<ReplicaGroup>> outcome_of(const std::vector<member_answer>& answers, const EpochRule& rule) {
   TestEnvironment environment;
   Counters counters;
@@ -230,12 +229,12 @@
 
 }  // namespace
 
-// Two disks were lost one after the other, and the one member that held everything was no majority by itself.
-TEST_CASE("a member that holds everything and one that still copies decide who holds the group next") {
+// Guards against a stalled group: two disks are lost one after the other, and the only whole member is no majority.
+TEST_CASE("a whole member and one that still copies decide the next epoch") {
   CHECK(decided(outcome_of({{1, kCopies, false}, {2, kAdmitted, true}}, {})));
 }
 
-TEST_CASE("members that may lack confirmed records do not decide who holds the group next") {
+TEST_CASE("members that may lack confirmed records do not decide the next epoch") {
   CHECK_FALSE(decided(outcome_of({{1, kCopies, false}, {2, kAdmitted, false}}, {})));
   CHECK_FALSE(decided(outcome_of({{1, kCopies, false}, {2, kCopies, false}}, {})));
   CHECK(decided(outcome_of({{1, kAdmitted, false}, {2, kAdmitted, false}}, {})));
@@ -250,18 +249,18 @@
 TEST_CASE("members of earlier versions decide as they did: they answer only where they are admitted") {
   constexpr auto kNotSaid = wire::ReplicaStanding::NotSaid;
   CHECK(decided(outcome_of({{1, kNotSaid, false}, {2, kNotSaid, false}}, {})));
-  // One of them does not make up for a member that only copies.
+  // An admitted member of an earlier version does not compensate for a member that still copies.
   CHECK_FALSE(decided(outcome_of({{1, kNotSaid, false}, {2, kCopies, false}}, {})));
 }
 
-// The vote of a member that was just back completed the majority that gave its place away, while a machine that was
-// gone for good stayed a member: the new disk waited for that one for good.
+// Guards against a member that votes for its own replacement: a member that had just returned completed the majority
+// that gave its place away, while a permanently gone machine stayed a member, and the new disk waited for it for good.
 TEST_CASE("a member that is to be given up ends the decision by its vote, and nobody else does") {
   EpochRule rule;
   rule.given_up = ReplicaIdentity{NodeId("a"), DiskId("disk")};
   CHECK_FALSE(decided(outcome_of({{0, kAdmitted, true}, {1, kAdmitted, true}, {2, kAdmitted, true}}, rule)));
   CHECK(decided(outcome_of({{1, kAdmitted, true}, {2, kAdmitted, true}}, rule)));
-  // A refusal for the sake of the epoch names no member.
+  // A refusal because of the epoch names no member.
   const member_answer refuses{0, kCopies, false, wire::ReplicaStatus::UnknownEpoch};
   CHECK(decided(outcome_of({refuses, {1, kAdmitted, true}, {2, kAdmitted, true}}, rule)));
 }
