--- a/tests/ledger/epoch_model.cpp
+++ b/tests/ledger/epoch_model.cpp
@@ -21,7 +21,7 @@
 constexpr unsigned kMostEpochs = 12;
 constexpr unsigned kMostWrites = 2;
 constexpr std::uint8_t kNobody = 0xFF;
-using node_set = std::uint8_t;  ///< A bit for each machine, with the disk that it has now.
+using node_set = std::uint8_t;  ///< One bit per machine; stands for the machine's current disk.
 
 constexpr bool has(node_set set, unsigned node) { return (set >> node & 1U) != 0; }
 constexpr node_set only(unsigned node) { return static_cast<node_set>(1U << node); }
@@ -30,55 +30,55 @@
 struct description {
   std::vector<disk> replicas;
   std::vector<disk> leaving;
-  std::vector<disk> departed;  ///< Former members that never come back, where they are kept.
+  std::vector<disk> departed;  ///< Former members that are never accepted again, if the rules keep them.
   auto operator<=>(const description&) const = default;
 };
 
-/// A machine with its process and its present disk.
+/// A machine with its process and its current disk.
 struct machine {
   presence state = presence::spare;
   std::uint8_t disk_number = 0;
   bool retiring = false;
-  std::uint8_t epoch = 0;      ///< The latest that its disk knows.
+  std::uint8_t epoch = 0;      ///< The latest epoch stored on its disk.
   bool voted = false;          ///< Its disk was admitted in some epoch.
-  bool returning = false;      ///< It has to copy again before it votes.
+  bool returning = false;      ///< Its disk has to copy again before it votes.
   bool dropped = false;        ///< This process knows that it is no member any more.
-  bool holds_leaving = false;  ///< Its disk holds all that those held who leave in its epoch.
-  bool full = false;           ///< Its disk has copied everything that it lacked when its epoch began.
+  bool holds_leaving = false;  ///< Its disk holds all records of the members that leave in its epoch.
+  bool full = false;           ///< Its disk has copied all records that it lacked when its epoch began.
   node_set copied = 0;         ///< Sources that this process has copied from in this epoch.
-  node_set copied_votes = 0;   ///< Of them those that were admitted.
-  node_set copied_whole = 0;   ///< Of them those that were whole.
-  bool whole = false;          ///< Its disk holds all that was confirmed before its epoch.
+  node_set copied_votes = 0;   ///< The sources among them that were admitted.
+  node_set copied_whole = 0;   ///< The sources among them that were whole.
+  bool whole = false;          ///< Its disk holds every record confirmed before its epoch.
   bool whole_before = false;   ///< It was whole in an earlier epoch of the same members.
   bool whole_last = false;     ///< It was whole in the epoch before this one.
   bool followed = false;       ///< Its disk has seen the epoch before this one.
-  /// Its disk keeps that it agreed to be a member of this epoch; 0: of none, or of one that it knows to be over.
+  /// The epoch of the consent stored on its disk; 0: no consent, or one for an epoch that it knows to be over.
   std::uint8_t agreed = 0;
   auto operator<=>(const machine&) const = default;
 };
 
-/// A disk's word that it would be a member of an epoch, as those know who have asked for it.
+/// A disk's consent to be a member of an epoch, as known to the maintainers that requested it.
 struct consent {
   std::uint8_t disk_number = 0;
   std::uint8_t epoch = 0;    ///< 0: none.
-  bool last_resort = false;  ///< It is to be emptied, and would come back beside the one that is left of a pair.
+  bool last_resort = false;  ///< It is draining, and would return beside the remaining member of a pair.
   auto operator<=>(const consent&) const = default;
 };
 
 struct model_state {
   std::array<machine, kMostNodes> machines;
-  std::vector<description> epochs;               ///< Decided, the first one is epoch 1.
-  std::array<node_set, kMostEpochs> voters{};    ///< Disks that hold the vote on an epoch.
-  std::array<std::uint8_t, kMostEpochs> sole{};  ///< The store's decider after an epoch, or kNobody.
+  std::vector<description> epochs;               ///< Decided epochs; the first one is epoch 1.
+  std::array<node_set, kMostEpochs> voters{};    ///< Disks that store a vote for the next epoch, by epoch.
+  std::array<std::uint8_t, kMostEpochs> sole{};  ///< The sole decider that the store named after an epoch, or kNobody.
   std::array<node_set, kMostWrites> held{};      ///< Disks that hold each confirmed record.
   std::uint8_t written = 0;
-  std::uint8_t published = 1;  ///< The epoch that the store tells to nodes that start.
+  std::uint8_t published = 1;  ///< The epoch that nodes read from the store when they start.
   bool store_up = true;
-  std::uint8_t lost = 0;  ///< Disks lost since everything was copied last.
+  std::uint8_t lost = 0;  ///< Disks lost since all records were last fully copied.
   std::uint8_t faults = 0;
-  std::optional<fleet_belief> earlier;  ///< What a maintainer believes that has not heard of some changes.
+  std::optional<fleet_belief> earlier;  ///< The view of a maintainer that missed some changes.
   std::array<consent, kMostNodes> consents{};
-  node_set emptied = 0;  ///< Machines that were emptied and taken away.
+  node_set emptied = 0;  ///< Machines that were drained and removed.
 
   unsigned latest() const { return static_cast<unsigned>(epochs.size()); }
   const description& of(unsigned epoch) const { return epochs.at(epoch - 1); }
@@ -105,7 +105,7 @@
   return text;
 }
 
-/// @return the state as bytes; equal states have equal ones.
+/// @return @p state serialized as bytes; equal states give equal bytes.
 std::string key_of(const model_state& state) {
   std::string key;
   const auto put = [&key](unsigned value) { key.push_back(static_cast<char>(value)); };
@@ -150,7 +150,7 @@
   return key;
 }
 
-/// @return the fleet as it is.
+/// @return the current fleet.
 fleet_belief fleet_of(const model_state& state) {
   fleet_belief fleet;
   for (unsigned node = 0; node < kMostNodes; ++node) {
@@ -160,7 +160,7 @@
   return fleet;
 }
 
-/// All moves of the model.
+/// The model's state transitions and invariants.
 class group_model {
  public:
   group_model(const model_scope& scope, const model_rules& rules) : scope_(scope), rules_(rules) {}
@@ -181,7 +181,7 @@
   }
 
   using moves = std::vector<std::pair<std::string, model_state>>;
-  /// @return what may happen next; @c violation is set when it breaks a promise.
+  /// @return the possible successors of @p state; sets @c violation when one violates an invariant.
   moves next(const model_state& state) {
     moves result;
     steps_of_members(state, result);
@@ -196,7 +196,7 @@
     return result;
   }
 
-  /// @return @p state without what makes no difference to anything that can happen: fewer states have to be looked at.
+  /// @return @p state without details that affect no later transition, which reduces the number of states to visit.
   model_state canonical(model_state state) const {
     bool published_is_known = false;
     for (unsigned node = 0; node < kMostNodes; ++node) {
@@ -236,22 +236,23 @@
     return state;
   }
 
-  /// @return what is wrong with what the members would answer now; empty when nothing is.
+  /// @return a description of the fault if a majority would now deny a confirmed record; empty if there is none.
   std::string check_answers(const model_state& state) const {
     for (unsigned epoch = 1; epoch <= state.latest(); ++epoch) {
       const node_set voting = voting_in(state, epoch);
       const unsigned majority = majority_of(state.of(epoch));
       for (unsigned record = 0; record < state.written; ++record) {
         if (size_of(static_cast<node_set>(voting & ~state.held[record])) >= majority) {
-          return "a majority of epoch " + std::to_string(epoch) + " answers that there is no record " +
-                 std::to_string(record) + ", which was confirmed";
+          return "a majority of epoch " + std::to_string(epoch) + " denies record " + std::to_string(record) +
+                 ", which was confirmed";
         }
       }
     }
     return "";
   }
 
-  /// @return what is wrong once everything is back and nothing more happens; empty when nothing is.
+  /// @return the violation that remains once all processes and the store are back and no more faults happen; empty if
+  /// there is none.
   std::string check_return(model_state state) {
     for (machine& one : state.machines) {
       if (one.state == presence::silent || one.state == presence::up) {
@@ -274,7 +275,7 @@
   std::string violation;
 
  private:
-  /// Takes out of @p state what is kept of @p epoch, where no machine is or may come to be in it.
+  /// Removes from @p state the details of @p epoch if no machine is in it or can still enter it.
   void forget_past(model_state& state, unsigned epoch) const {
     bool decides = false;
     bool known = epoch == state.published || !rules_.fence_old_epochs || !rules_.members_tell_epoch;
@@ -313,7 +314,7 @@
       if (!violation.empty()) {
         return violation;
       }
-      // Who decides, or finds that it was decided, tells all members.
+      // The maintainer that decides the epoch, or finds it decided, sends it to all members.
       for (unsigned node = 0; decided && known < state.latest() && node < kMostNodes; ++node) {
         adopt(state, node, known + 1);
       }
@@ -325,18 +326,18 @@
     const node_set voting = voting_in(state, known);
     const std::string group = "epoch " + std::to_string(known) + " " + text_of(state.of(known));
     if (size_of(voting) < majority_of(state.of(known))) {
-      return "all are back, and " + group + " has only " + text_of(voting) + " as admitted members for good";
+      return "all are back, and " + group + " has only " + text_of(voting) + " as admitted members permanently";
     }
     for (const disk& place : state.of(known).replicas) {
       if (state.machines[place.node].state == presence::up && !has(voting, place.node)) {
-        return "all are back, and the place of " + name_of(place) + " in " + group + " is empty for good";
+        return "all are back, and the place of " + name_of(place) + " in " + group + " stays empty permanently";
       }
     }
     for (unsigned node = 0; node < kMostNodes; ++node) {
       const machine& one = state.machines[node];
       if (one.state == presence::up && one.retiring && waits_for_agreed(one)) {
-        return "all are back, and " + name_of(node) + " is never emptied: it agreed to epoch " +
-               std::to_string(one.agreed) + ", which does not come";
+        return "all are back, and " + name_of(node) + " is never drained: it consented to epoch " +
+               std::to_string(one.agreed) + ", which is never decided";
       }
     }
     return "";
@@ -377,7 +378,7 @@
     one.copied_whole = 0;
   }
 
-  /// The machine takes a decided epoch for its own, if it is later.
+  /// Machine @p node adopts the decided @p epoch if it is later than its own.
   void adopt(model_state& state, unsigned node, unsigned epoch) const {
     machine& one = state.machines[node];
     if (one.state != presence::up || epoch <= one.epoch) {
@@ -437,7 +438,7 @@
                        [&all](const disk& one) { return std::find(all.begin(), all.end(), one) != all.end(); });
   }
 
-  /// @return the other members that @p node copies from in @p epoch, and those that leave.
+  /// @return the sources of @p node in @p epoch: the leaving members if @p leaving, otherwise the other members.
   static std::vector<disk> sources_of(const model_state& state, unsigned epoch, unsigned node, bool leaving) {
     std::vector<disk> result = leaving ? state.of(epoch).leaving : state.of(epoch).replicas;
     std::erase_if(result, [node](const disk& one) { return one.node == node; });
@@ -452,12 +453,12 @@
     const auto sources = sources_of(state, one.epoch, node, leaving);
     return std::all_of(sources.begin(), sources.end(), [&](const disk& from) { return has(one.copied, from.node); });
   }
-  /// @return whether @p node holds everything that the members before it held.
+  /// @return whether @p node has copied from all other members and all leaving members.
   bool holds_all(const model_state& state, unsigned node) const {
     return has_copied(state, node, false) && has_copied(state, node, true);
   }
 
-  /// @return whether what @p node has copied holds everything that was confirmed before its epoch.
+  /// @return whether @p node has copied enough to hold every record confirmed before its epoch.
   bool has_copied_all(const model_state& state, unsigned node) const {
     const machine& one = state.machines[node];
     const bool all_members = has_copied(state, node, false);
@@ -490,7 +491,7 @@
     forget_what_is_settled(state, node);
   }
 
-  /// Makes states equal that differ in nothing that still matters.
+  /// Clears the details of a whole member that have no further effect, so that equivalent states compare equal.
   void forget_what_is_settled(model_state& state, unsigned node) const {
     machine& one = state.machines[node];
     if (!one.whole) {
@@ -514,7 +515,7 @@
     if (!takes_part(one) || !there || (has(one.copied, from.node) && !again)) {
       return false;
     }
-    adopt(state, from.node, one.epoch);  // the question brings the epoch
+    adopt(state, from.node, one.epoch);  // the copy request carries the epoch
     if (!takes_part(source) || source.epoch != one.epoch) {
       adopt(state, node, source.dropped ? 0 : source.epoch);
       return false;
@@ -560,7 +561,7 @@
     }
   }
 
-  /// @return the epoch that one learns who begins with what the store tells and asks those it names.
+  /// @return the epoch that a starting node learns: it reads the published epoch from the store and asks the members.
   unsigned epoch_known_at_start(const model_state& state) const {
     unsigned known = state.published;
     for (bool learnt = true; learnt;) {
@@ -619,7 +620,7 @@
     }
   }
 
-  /// @return the machines that vote on what follows @p epoch now.
+  /// @return the machines that can vote now on the epoch after @p epoch.
   node_set deciding_in(const model_state& state, unsigned epoch) const {
     if (!rules_.whole_members_decide) {
       return voting_in(state, epoch);
@@ -634,7 +635,7 @@
     return result;
   }
 
-  /// @return whether @p granting are enough, and hold everything together.
+  /// @return whether @p granting reach @p quorum and together hold every confirmed record.
   bool may_decide(const model_state& state, unsigned epoch, const ledger::epoch_change& change, node_set granting,
                   unsigned quorum) const {
     if (size_of(granting) < quorum) {
@@ -657,8 +658,8 @@
     return whole > 0 || (!change.rule.sole && admitted >= quorum);
   }
 
-  /// Has the members that vote in @p epoch decide the next one, by each set of them that may.
-  /// @param view what its proposer believes of the fleet
+  /// Adds one successor for each set of members of @p epoch that may decide the next epoch.
+  /// @param view the proposer's view of the fleet
   void decide(const model_state& state, unsigned epoch, const fleet_belief& view, bool silent_are_missing,
               moves& result) {
     auto change = change_of(state, epoch, view, silent_are_missing);
@@ -695,7 +696,7 @@
         found_decided_ = true;
         const auto unaware = static_cast<node_set>(allowed & ~state.voters[epoch]);
         if ((chosen & state.voters[epoch]) == 0 && may_decide(state, epoch, *change, unaware, quorum)) {
-          violation = text_of(chosen) + " decide epoch " + std::to_string(epoch + 1) + " anew as " + text_of(wanted) +
+          violation = text_of(chosen) + " decide epoch " + std::to_string(epoch + 1) + " again as " + text_of(wanted) +
                       ", which others have decided as " + text_of(state.of(epoch + 1));
         }
         continue;
@@ -729,7 +730,7 @@
                         std::move(then));
   }
 
-  /// @return the product's own choice; remembered, since few questions come often.
+  /// @return the change that the production code wants; cached, since the same few inputs recur often.
   std::optional<ledger::epoch_change> change_of(const model_state& state, unsigned epoch, const fleet_belief& view,
                                                 bool silent_are_missing) {
     const description& present = state.of(epoch);
@@ -749,7 +750,8 @@
     }
     return known->second;
   }
-  /// @return @p present as the product knows it; without the rule for former members they are told under other names.
+  /// @return @p present as the production type. Without the rule leaving_are_no_substitutes the leaving members get
+  /// other names, so that the production code does not recognize them.
   ReplicaGroup group_of(const description& present, unsigned epoch) const {
     ReplicaGroup group;
     group.epoch = epoch;
@@ -761,8 +763,8 @@
     }
     return group;
   }
-  /// @return the next description as the group keeps it.
-  /// @param view what the proposer believes
+  /// @return the description of the next epoch as the group stores it.
+  /// @param view the proposer's view of the fleet
   description described(const model_state& state, unsigned epoch, const ledger::epoch_change& change,
                         const fleet_belief& view) const {
     description wanted;
@@ -794,7 +796,7 @@
   static bool contains(const std::vector<disk>& list, const disk& one) {
     return std::find(list.begin(), list.end(), one) != list.end();
   }
-  /// @return those of @p next that are not in @p before.
+  /// @return the disks of @p next that are not in @p before.
   static std::vector<disk> not_in(const std::vector<disk>& before, const std::vector<disk>& next) {
     std::vector<disk> result = next;
     std::erase_if(result, [&before](const disk& one) { return contains(before, one); });
@@ -804,19 +806,19 @@
     if (view == fleet_of(state)) {
       return "";
     }
-    std::string text = ", proposed by one that believes in";
+    std::string text = ", proposed by a maintainer that believes in";
     for (unsigned node = 0; node < kMostNodes; ++node) {
       const machine_belief& one = view[node];
       if (one.state == presence::up || one.state == presence::silent) {
         text += " " + name_of({static_cast<std::uint8_t>(node), one.disk_number});
-        text += one.state == presence::silent ? " silent" : "";
-        text += one.retiring ? " to be emptied" : "";
+        text += one.state == presence::silent ? " unresponsive" : "";
+        text += one.retiring ? " draining" : "";
       }
     }
     return text;
   }
 
-  /// @return whether a member that would be given up answers, which ends the decision.
+  /// @return whether the member to be given up answers, which aborts the decision.
   bool given_up_answers(const model_state& state, const ledger::epoch_change& change) const {
     if (!rules_.given_up_may_answer || !change.rule.given_up) {
       return false;
@@ -825,14 +827,14 @@
     const machine& one = state.machines[lost.node];
     return takes_part(one) && one.disk_number == lost.number;
   }
-  /// @return whether no voter of @p epoch knows one of @p joining for a disk that left for good.
+  /// @return whether none of @p joining is recorded in @p epoch as permanently departed.
   bool may_join(const model_state& state, unsigned epoch, const std::vector<disk>& joining) const {
     return std::none_of(joining.begin(), joining.end(),
                         [&](const disk& one) { return contains(state.of(epoch).departed, one); });
   }
 
-  /// @return whether @p one would agree now to be a member of the epoch after @p epoch.
-  /// @param last_resort whether it is asked to come back though it is to be emptied
+  /// @return whether @p one would consent now to be a member of the epoch after @p epoch.
+  /// @param last_resort whether it is asked to return though it is draining
   bool would_agree(const model_state& state, unsigned epoch, const disk& one, bool last_resort) const {
     const machine& candidate = state.machines[one.node];
     if (candidate.state != presence::up || candidate.disk_number != one.number || candidate.epoch > epoch) {
@@ -841,14 +843,16 @@
     const bool leaves_a_pair = contains(state.of(epoch).leaving, one) && state.of(epoch).replicas.size() == 2;
     return !candidate.retiring || (last_resort && leaves_a_pair);
   }
-  /// @param last_resort whether it was asked to come back though it is to be emptied
+  /// @return whether @p one has consented to be a member of the epoch after @p epoch.
+  /// @param last_resort whether it was asked to return though it is draining
   bool has_agreed(const model_state& state, unsigned epoch, const disk& one, bool last_resort) const {
     const consent& given = state.consents[one.node];
     const bool for_this = given.epoch == epoch + 1 || (!rules_.consent_for_one_epoch && given.epoch > 0);
     const bool for_that = !given.last_resort || last_resort || !rules_.consent_for_what_was_asked;
     return given.disk_number == one.number && for_this && for_that;
   }
-  /// @param view what the proposer believes
+  /// @return whether all of @p joining consent or have consented to the epoch after @p epoch.
+  /// @param view the proposer's view of the fleet
   bool all_agree(const model_state& state, unsigned epoch, const std::vector<disk>& joining,
                  const fleet_belief& view) const {
     return !rules_.candidates_consent || std::all_of(joining.begin(), joining.end(), [&](const disk& one) {
@@ -856,13 +860,13 @@
       return has_agreed(state, epoch, one, last_resort) || would_agree(state, epoch, one, last_resort);
     });
   }
-  /// The latest epoch names @p joining, which were no members before.
+  /// Records that the latest epoch names @p joining, which were not members before.
   void note_joining(model_state& state, const std::vector<disk>& joining) {
     for (const disk& one : joining) {
       machine& joins = state.machines[one.node];
       if (has(state.emptied, one.node) && joins.disk_number == one.number) {
         violation = "epoch " + std::to_string(state.latest()) + " " + text_of(state.of(state.latest())) + " names " +
-                    name_of(one) + ", which was emptied and taken away";
+                    name_of(one) + ", which was drained and removed";
       }
       if (rules_.candidates_consent && joins.disk_number == one.number && joins.state != presence::gone) {
         joins.agreed = static_cast<std::uint8_t>(state.latest());
@@ -870,7 +874,8 @@
     }
   }
   bool waits_for_agreed(const machine& one) const { return rules_.consent_holds_up_emptying && one.agreed > 0; }
-  /// @return whether a machine that is to be emptied waits for the epoch after @p epoch, which nobody else wants.
+  /// @return whether a draining machine waits for the epoch after @p epoch because of its consent. The members then
+  /// decide that epoch unchanged.
   bool uses_up_number(const model_state& state, unsigned epoch) const {
     return rules_.unused_consents_end &&
            std::any_of(state.machines.begin(), state.machines.end(), [&](const machine& one) {
@@ -890,8 +895,8 @@
     const bool asked = given.epoch == epoch + 1 && given.disk_number == one.number;
     return !asked && epoch + 1 < kMostEpochs && !is_member(state, epoch, node) && would_agree(state, epoch, one, true);
   }
-  /// A disk may have agreed at any earlier moment of this epoch. It matters once it would not agree any more, so that
-  /// this is when it is told.
+  /// Adds variants in which a disk consented earlier in this epoch. A consent only matters once the disk would no
+  /// longer give it, so the variant is added at that point.
   void fork_consents(const model_state& state, moves& result) const {
     if (!rules_.candidates_consent) {
       return;
@@ -913,11 +918,12 @@
         const bool keeps_disk =
             after[node].state != presence::gone && after[node].disk_number == before[node].disk_number;
         then.machines[node].agreed = keeps_disk ? epoch : then.machines[node].agreed;
-        result.emplace_back(name_of(node) + " agrees to epoch " + std::to_string(epoch) + "; " + move, std::move(then));
+        result.emplace_back(name_of(node) + " consents to epoch " + std::to_string(epoch) + "; " + move,
+                            std::move(then));
       }
     }
   }
-  /// One maintainer may not hear of a change of the fleet.
+  /// Adds variants in which one maintainer misses a change of the fleet.
   void fork_views(const model_state& state, moves& result) const {
     if (scope_.earlier_views == earlier_view::none) {
       return;
@@ -934,10 +940,11 @@
       for (unsigned node = 0; then.earlier && node < kMostNodes; ++node) {
         (*then.earlier)[node] = before[node] == after[node] ? (*then.earlier)[node] : after[node];
       }
-      result.emplace_back(move + ", unheard by a maintainer", std::move(unheard));
+      result.emplace_back(move + ", missed by a maintainer", std::move(unheard));
     }
   }
-  /// Takes out what may be told at any later moment as well: fewer states have to be looked at.
+  /// Drops consents and views that can be added later with the same effect, which reduces the number of states to
+  /// visit.
   void forget_what_may_come_again(model_state& state) const {
     if (state.earlier && *state.earlier == fleet_of(state)) {
       state.earlier.reset();
@@ -957,7 +964,7 @@
     }
   }
 
-  /// With all back: the first move that decides something.
+  /// Applies the first transition that decides something while all processes and the store are back.
   /// @return whether the epoch after @p epoch is decided now, or the store has named who may do so.
   bool decide_once(model_state& state, unsigned epoch) {
     moves possible;
@@ -970,7 +977,7 @@
     return true;
   }
 
-  /// One that believes the fleet to be as in @p view proposes what follows @p epoch.
+  /// Adds the decisions on the epoch after @p epoch that a maintainer with @p view proposes.
   void propose(const model_state& state, unsigned epoch, const fleet_belief& view, moves& result) {
     decide(state, epoch, view, false, result);
     const bool silent =
@@ -990,7 +997,7 @@
     if (state.store_up && state.published < state.latest()) {
       model_state then = state;
       then.published = static_cast<std::uint8_t>(state.latest());
-      result.emplace_back("the store is told of epoch " + std::to_string(state.latest()), std::move(then));
+      result.emplace_back("the store receives epoch " + std::to_string(state.latest()), std::move(then));
     }
   }
 
@@ -1012,7 +1019,7 @@
     }
   }
 
-  /// @return whether as many disks as there can be hold everything.
+  /// @return whether as many disks as possible hold every record.
   bool whole(const model_state& state) const {
     const description& group = state.of(state.latest());
     std::size_t places = 0;
@@ -1039,7 +1046,7 @@
         result.emplace_back(name_of(node) + " is back", std::move(then));
         then = state;
         start_anew(then.machines[node]);
-        result.emplace_back(name_of(node) + " is back, started anew", std::move(then));
+        result.emplace_back(name_of(node) + " is back, restarted", std::move(then));
       }
       if (one.state == presence::up && one.retiring && has_left(state, node)) {
         model_state then = state;
@@ -1047,7 +1054,7 @@
         then.emptied |= only(node);
         check_copies_left(state, then, node);
         check_not_named(state, node);
-        result.emplace_back(name_of(node) + " has left and is taken away", std::move(then));
+        result.emplace_back(name_of(node) + " has left and is removed", std::move(then));
       }
       if (one.state == presence::spare && node < scope_.disks + scope_.further + scope_.spares &&
           started_spares(state) < lost_machines(state)) {
@@ -1091,28 +1098,28 @@
     one = machine{presence::gone, one.disk_number, false, 0, false, false, false, false, false, 0};
   }
 
-  /// Notes where a record has fewer disks than it needs once @p node has been taken away.
+  /// Sets @c violation if removing @p node leaves a record on fewer disks than required.
   void check_copies_left(const model_state& before, const model_state& after, unsigned node) {
     const std::size_t least = ledger::least_copies(scope_.disks);
     for (unsigned record = 0; record < before.written; ++record) {
       const bool had_enough = size_of(before.held[record]) >= least;
       if (had_enough && size_of(after.held[record]) < least) {
-        violation = name_of(node) + " was emptied and taken away, and record " + std::to_string(record) +
-                    " stands with " + text_of(after.held[record]) + " alone";
+        violation = name_of(node) + " was drained and removed, and record " + std::to_string(record) + " is only on " +
+                    text_of(after.held[record]);
       }
     }
   }
 
-  /// Notes where @p node goes though it is a member of an epoch that it has not heard of.
+  /// Sets @c violation if @p node is removed while the latest epoch, unknown to @p node, names it as a member.
   void check_not_named(const model_state& before, unsigned node) {
     const unsigned latest = before.latest();
     if (is_member(before, latest, node)) {
-      violation = name_of(node) + " was emptied and taken away, and epoch " + std::to_string(latest) + " " +
+      violation = name_of(node) + " was drained and removed, and epoch " + std::to_string(latest) + " " +
                   text_of(before.of(latest)) + " names it";
     }
   }
 
-  /// @return whether a retiring machine is in no group any more, and all members hold what it held.
+  /// @return whether retiring machine @p node is no longer in the group and all members hold its records.
   bool has_left(const model_state& state, unsigned node) const {
     const machine& one = state.machines[node];
     if (waits_for_agreed(one)) {
@@ -1147,7 +1154,7 @@
       if (one.state == presence::up) {
         model_state then = struck;
         then.machines[node].state = presence::silent;
-        result.emplace_back(name_of(node) + " falls silent", std::move(then));
+        result.emplace_back(name_of(node) + " becomes unresponsive", std::move(then));
       }
       if (here && may_lose) {
         lose(struck, state, node, result);
@@ -1160,7 +1167,7 @@
           })) {
         model_state then = struck;
         then.machines[node].retiring = true;
-        result.emplace_back(name_of(node) + " is to be emptied", std::move(then));
+        result.emplace_back(name_of(node) + " starts draining", std::move(then));
       }
     }
     model_state dark = struck;
@@ -1173,7 +1180,7 @@
     if (scope_.store_away && state.store_up) {
       model_state then = struck;
       then.store_up = false;
-      result.emplace_back("the store goes away", std::move(then));
+      result.emplace_back("the store becomes unavailable", std::move(then));
     }
   }
 
@@ -1191,18 +1198,18 @@
     result.emplace_back(name_of(node) + " loses its disk", std::move(then));
     if (lost_machines(state) < scope_.spares) {
       remove(gone, node);
-      result.emplace_back(name_of(node) + " is lost for good", std::move(gone));
+      result.emplace_back(name_of(node) + " is lost permanently", std::move(gone));
     }
   }
 
   const model_scope scope_;
   const model_rules rules_;
   std::unordered_map<std::string, std::optional<ledger::epoch_change>> changes_;
-  bool found_decided_ = false;                           ///< By the last call of decide().
-  std::unordered_map<std::string, std::string> judged_;  ///< What comes of a state once all are back.
+  bool found_decided_ = false;                           ///< Whether the last call of decide() found the epoch decided.
+  std::unordered_map<std::string, std::string> judged_;  ///< Violations that remain once all are back, by state.
 };
 
-/// A state that was reached, and how.
+/// How a state was reached: the index of its predecessor and the transition.
 struct reached {
   std::size_t from = 0;
   std::string move;
--- a/tests/ledger/epoch_model_test.cpp
+++ b/tests/ledger/epoch_model_test.cpp
@@ -1,11 +1,10 @@
-/// Every state that a few faults can bring a replica group into is looked at: disks lost one after the other, processes
-/// that are silent and come back, losses of power, a disk that is to be emptied, the store away, at any moment of
-/// deciding, adopting and copying, within what the group is made for (as many disks at once as it tolerates, until
-/// everything has been copied again). In none of them a confirmed record is out of sight of a majority that answers,
-/// two descriptions of one epoch stand, or, once all are back, the group is left without a majority of admitted members
-/// or with a place that stays empty; no epoch names a disk that was emptied and taken away, also where a maintainer
-/// proposes it that believes the fleet to be as it was. A model without one of its rules breaks a promise, so the
-/// search would see it.
+/// Visits every state of the epoch model that a few faults can lead to: disks lost one after the other, processes that
+/// become unresponsive and return, power losses, a draining disk, and an unavailable store, at any point of deciding,
+/// adopting and copying. Disk losses stay within the group's tolerance: as many disks at once as it tolerates, until
+/// all records have been copied again. In no state does a majority that answers lack a confirmed record, or an epoch
+/// have two descriptions. Once all are back, the group has a majority of admitted members and no place stays empty. No
+/// epoch names a disk that was drained and removed, even if a maintainer with an outdated view proposes it. A model
+/// without one of its rules violates an invariant, which shows that the search detects it.
 #include "ledger/epoch_model.hpp"
 
 #include <catch2/catch.hpp>
@@ -38,7 +37,7 @@
   return scope;
 }
 
-/// Members that are silent for long, whose place a fourth disk takes; no disk is lost.
+/// Members are unresponsive for a long time and a fourth disk takes their place; no disk is lost.
 model_scope silence_scope() {
   model_scope scope;
   scope.further = 1;
@@ -47,7 +46,7 @@
   return scope;
 }
 
-/// Disks of members and of others are emptied while a maintainer that has not heard of it proposes epochs.
+/// Disks of members and of other machines are drained while a maintainer that missed this proposes epochs.
 model_scope unheard_scope() {
   model_scope scope = emptied_scope();
   scope.others_emptied = true;
@@ -97,7 +96,7 @@
   check_holds(scope);
 }
 
-// As of a machine that is told to stop while its successor is there.
+// Covers a machine that is asked to stop while its successor is already running.
 TEST_CASE("epochs of three disks with a fourth at hand, one of which is to be emptied, two faults") {
   model_scope scope = emptied_scope();
   scope.further = 1;
@@ -106,7 +105,7 @@
   check_holds(scope);
 }
 
-// Too long for every run: by hand, "[long]".
+// Hidden because it takes too long for every run; run it with "[long]".
 TEST_CASE("epochs of five disks, two of which may be lost, three faults", "[.][long]") {
   model_scope scope;
   scope.disks = 5;
@@ -134,7 +133,8 @@
 
 TEST_CASE("epochs of three disks with a fourth at hand, none lost, three faults") { check_holds(silence_scope()); }
 
-// The silent member's place is taken by another disk at once, and one of the others is lost before that one has copied.
+// Another disk takes the unresponsive member's place at once, and another member is lost before the new disk has
+// copied.
 TEST_CASE("epochs of three disks with a fourth at hand, two faults") {
   model_scope scope;
   scope.further = 1;
@@ -142,7 +142,7 @@
   check_holds(scope);
 }
 
-TEST_CASE("epochs of three disks with a fourth at hand, two faults, decisions heard by all that are up") {
+TEST_CASE("epochs of three disks with a fourth at hand, two faults, all running processes learn of decisions at once") {
   model_scope scope;
   scope.further = 1;
   scope.faults = 2;
@@ -150,15 +150,15 @@
   check_holds(scope);
 }
 
-// One of three has been emptied; of the two that are left one falls silent and the store lets the other decide alone.
-// What that one confirms stands nowhere else until the silent one has copied it.
+// One of three disks has been drained; one of the remaining two becomes unresponsive, and the store names the other one
+// sole decider. What that one confirms is on no other disk until the unresponsive one has copied it.
 TEST_CASE("epochs of three disks, one of which is to be emptied, silent ones taken for gone, three faults") {
   model_scope scope = emptied_scope();
   scope.silent_replaced = true;
   check_holds(scope);
 }
 
-// A new machine takes the place of one that was emptied, and one of the other two is lost before it has copied.
+// A new machine takes the place of a drained one, and one of the other two is lost before the new one has copied.
 TEST_CASE("epochs of three disks, one of which is emptied and replaced by a new machine, two faults") {
   model_scope scope = emptied_scope();
   scope.spares = 1;
@@ -167,8 +167,8 @@
   check_holds(scope);
 }
 
-// A maintainer that was frozen or cut off names a disk that was emptied meanwhile, and another one is lost.
-TEST_CASE("epochs of three disks that one proposes who missed changes, two faults and a record") {
+// A maintainer that was suspended or disconnected names a disk that was drained meanwhile, and another disk is lost.
+TEST_CASE("epochs of three disks, proposed by a maintainer that missed changes, two faults and a record") {
   model_scope scope = unheard_scope();
   scope.silent_replaced = true;
   scope.writes = 1;
@@ -178,14 +178,15 @@
   check_holds(scope, rules);
 }
 
-TEST_CASE("epochs of three disks that one proposes who missed changes, decisions heard one by one, two faults") {
+TEST_CASE(
+    "epochs of three disks, proposed by a maintainer that missed changes, decisions learned one by one, two faults") {
   model_scope scope = unheard_scope();
   scope.earlier_views = earlier_view::of_one_moment;
   scope.coarse = false;
   check_holds(scope);
 }
 
-TEST_CASE("epochs of three disks that one proposes who missed changes, three faults") {
+TEST_CASE("epochs of three disks, proposed by a maintainer that missed changes, three faults") {
   model_scope scope = unheard_scope();
   scope.earlier_views = earlier_view::of_one_moment;
   scope.faults = 3;
@@ -195,13 +196,13 @@
   check_holds(scope, rules);
 }
 
-TEST_CASE("epochs of three disks with a fourth at hand that one proposes who missed changes, two faults") {
+TEST_CASE("epochs of three disks with a fourth at hand, proposed by a maintainer that missed changes, two faults") {
   model_scope scope = unheard_scope();
   scope.further = 1;
   check_holds(scope);
 }
 
-TEST_CASE("epochs of three disks and a new machine that one proposes who missed changes, two faults") {
+TEST_CASE("epochs of three disks and a new machine, proposed by a maintainer that missed changes, two faults") {
   model_scope scope = unheard_scope();
   scope.earlier_views = earlier_view::of_one_moment;
   scope.silent_replaced = true;
@@ -211,12 +212,12 @@
 
 TEST_CASE("epochs that one proposes who missed changes, more states", "[.][long]") {
   model_scope scope = unheard_scope();
-  SECTION("a fourth disk at hand, silent ones taken for gone, a record") {
+  SECTION("a fourth disk at hand, unresponsive members count as gone, a record") {
     scope.further = 1;
     scope.silent_replaced = true;
     scope.writes = 1;
   }
-  SECTION("decisions heard one by one, a record") {
+  SECTION("decisions learned one by one, a record") {
     scope.earlier_views = earlier_view::of_one_moment;
     scope.coarse = false;
     scope.writes = 1;
@@ -224,7 +225,7 @@
   check_holds(scope);
 }
 
-TEST_CASE("a model of epochs without one of its rules breaks a promise") {
+TEST_CASE("an epoch model without one of its rules violates an invariant") {
   model_scope scope;
   model_rules rules;
   SECTION("a new disk votes before it has copied") { rules.copy_before_voting = false; }
@@ -236,29 +237,29 @@
     scope = silence_scope();
     rules.copy_when_back = false;
   }
-  SECTION("members that start keep their epoch to themselves") {
+  SECTION("members that start do not report their epoch") {
     scope.spares = 3;
     scope.writes = 0;
     scope.coarse = true;
     rules.members_tell_epoch = false;
   }
-  SECTION("a disk is taken away that leaves a record on one other") {
+  SECTION("a disk is removed while a record is on only one other disk") {
     scope = emptied_scope();
     scope.silent_replaced = true;
     scope.coarse = true;
     rules.leave_enough_copies = false;
   }
-  SECTION("what a leaving member held is not waited for") {
+  SECTION("a new member does not wait for the records of a leaving one") {
     scope = emptied_scope();
     scope.faults = 2;
     rules.wait_for_leaving = false;
   }
-  SECTION("nobody copies when there are fewer members") {
+  SECTION("members do not copy when the group shrinks") {
     scope = emptied_scope();
     scope.coarse = true;
     rules.copy_when_fewer = false;
   }
-  SECTION("nobody decides who does not vote on records, so that a whole member alone is no majority") {
+  SECTION("only members that vote on records decide, so that a whole member alone is no majority") {
     scope.further = 1;
     scope.faults = 2;
     rules.whole_members_decide = false;
@@ -269,9 +270,7 @@
     scope.coarse = true;
     rules.decide_only_with_all_records = false;
   }
-  SECTION("a member counts as whole that took part in no decision that others made") {
-    rules.compare_in_each_epoch = false;
-  }
+  SECTION("a member counts as whole without a copy in the current epoch") { rules.compare_in_each_epoch = false; }
   SECTION("each of a pair may decide alone") {
     scope = emptied_scope();
     scope.tolerated = 0;
@@ -279,47 +278,47 @@
     scope.writes = 0;
     rules.one_sole_decider = false;
   }
-  SECTION("a former member is taken up again by a maintainer that has not heard why") {
+  SECTION("a maintainer that missed the draining of a former member adds it again") {
     scope = unheard_scope();
     scope.others_emptied = false;
     rules.leaving_are_no_substitutes = false;
     rules.candidates_consent = false;
   }
-  SECTION("a disk joins without its word, and only leaving members are no substitutes") {
+  SECTION("a disk joins without its consent, and only leaving members are no substitutes") {
     scope = unheard_scope();
     scope.others_emptied = false;
     rules.candidates_consent = false;
   }
-  SECTION("a disk joins without its word, and those that left for good are kept with the group") {
+  SECTION("a disk joins without its consent, and the group records departed members") {
     scope = unheard_scope();
     rules.departed = departed_rule::all_kept;
     rules.candidates_consent = false;
     SECTION("one that was never a member") {}
-    SECTION("one that still leaves, for a pair") {
+    SECTION("one that is still leaving, for a pair") {
       scope.others_emptied = false;
       scope.silent_replaced = true;
     }
   }
-  SECTION("a disk's word holds for any later epoch") {
+  SECTION("a disk's consent is valid for any later epoch") {
     scope = unheard_scope();
     rules.consent_for_one_epoch = false;
   }
-  SECTION("the word of a machine that would come back as the last one holds for any place") {
+  SECTION("the consent of a machine to return as the last one is valid for any place") {
     scope = unheard_scope();
     scope.faults = 3;
     rules.consent_for_what_was_asked = false;
     rules.leaving_are_no_substitutes = false;
   }
-  SECTION("a machine forgets with a start what it agreed to") {
+  SECTION("a machine loses its consents in a restart") {
     scope = unheard_scope();
     scope.faults = 3;
     rules.consents_are_durable = false;
   }
-  SECTION("a machine that agreed to an epoch is emptied before it comes") {
+  SECTION("a machine that consented to an epoch is drained before the epoch is decided") {
     scope = unheard_scope();
     rules.consent_holds_up_emptying = false;
   }
-  SECTION("a machine that agreed waits for an epoch that nobody wants") {
+  SECTION("a machine that consented waits for an epoch that is never decided") {
     scope = unheard_scope();
     rules.unused_consents_end = false;
   }
