--- a/tests/ledger/epoch_change_test.cpp
+++ b/tests/ledger/epoch_change_test.cpp
@@ -1,5 +1,5 @@
-/// Who holds a replica group next: a disk that is gone is replaced before one that is to be emptied is let go, nobody
-/// keeps a place that stays empty, and no group is left without a majority of members that vote already.
+/// The choice of a replica group's next members: a disk that is gone is replaced before a draining one is removed, no
+/// place stays empty, and no group is left without a majority of members that already vote.
 #include "ledger/epoch_change.hpp"
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
 const ReplicaIdentity kD{NodeId("d"), DiskId("disk-d")};
 constexpr std::size_t kReplicas = 3;
 
-/// A fleet as it is told.
+/// A fleet whose states the test sets.
 class told_view : public fleet_view {
  public:
   replica_state state_of(const ReplicaIdentity& replica) override {
@@ -72,7 +72,7 @@
   CHECK(change->next == ReplicaGroup{5, {kB, kC, kD}, {}});
 }
 
-TEST_CASE("a member that is to be emptied leaves a group of three without another disk to go to") {
+TEST_CASE("a draining member leaves a group of three where no other disk is free") {
   told_view view;
   view.states[kA] = replica_state::retiring;
   view.free = {{kB, "2"}, {kC, "3"}};
@@ -81,8 +81,8 @@
   CHECK(change->next == ReplicaGroup{5, {kB, kC}, {kA}});
 }
 
-// The successor of a machine that was replaced as planned was no member yet when the machine was taken away.
-TEST_CASE("a member whose process was told to stop hands its place to a free disk and is copied from") {
+// Guards against a planned replacement in which the machine is removed before its successor is a member.
+TEST_CASE("a member whose process was asked to stop hands its place to a free disk and is copied from") {
   told_view view;
   view.states[kA] = replica_state::stopping;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
@@ -93,15 +93,15 @@
   CHECK(change->rule.let_go == kA);
 }
 
-TEST_CASE("a member whose process was told to stop keeps its place where no other disk is free") {
+TEST_CASE("a member whose process was asked to stop keeps its place where no other disk is free") {
   told_view view;
   view.states[kA] = replica_state::stopping;
   view.free = {{kB, "2"}, {kC, "3"}};
   CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
-// Restarts in turn moved places from node to node where every disk has some.
-TEST_CASE("a member whose process was told to stop keeps its place where the free disk has places of other nodes") {
+// Guards against rolling restarts that move places from node to node where every disk has some.
+TEST_CASE("a member whose process was asked to stop keeps its place where the free disk has places of other nodes") {
   told_view view;
   view.states[kA] = replica_state::stopping;
   view.used_elsewhere = kD;
@@ -109,7 +109,7 @@
   CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
-TEST_CASE("a member that is to be emptied is let go beside one whose process was told to stop and keeps its place") {
+TEST_CASE("a draining member is removed beside one whose process was asked to stop and keeps its place") {
   told_view view;
   view.states[kA] = replica_state::stopping;
   view.states[kB] = replica_state::retiring;
@@ -120,7 +120,7 @@
   CHECK(change->next == ReplicaGroup{5, {kA, kD, kC}, {kB}});
 }
 
-TEST_CASE("of two members that stop at the same time none gives its place up") {
+TEST_CASE("of two members that stop at the same time neither gives up its place") {
   told_view view;
   view.states[kA] = replica_state::stopping;
   view.states[kB] = replica_state::stopping;
@@ -128,8 +128,8 @@
   CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
-// Found by the model of epochs: its place stayed empty for good, so that the next lost disk left no majority.
-TEST_CASE("a member that was to be emptied and has lost its disk gives its place up") {
+// Found by the epoch model: its place stayed empty permanently, so that the next lost disk left no majority.
+TEST_CASE("a draining member that has lost its disk gives up its place") {
   told_view view;
   view.states[kA] = replica_state::disk_replaced;
   view.retiring = kA.node;
@@ -140,9 +140,9 @@
   CHECK(change->rule.quorum == 2);
 }
 
-// Found by the model: the new disk was given the place of the member that leaves, and then waited for the one that was
-// gone; a single member was left to decide anything.
-TEST_CASE("a member that is gone is replaced before one that leaves is let go") {
+// Found by the epoch model: the new disk took the place of the leaving member and then waited to copy from the member
+// that was gone; a single voting member was left.
+TEST_CASE("a member that is gone is replaced before a leaving one is removed") {
   told_view view;
   view.states[kA] = replica_state::retiring;
   view.states[kB] = replica_state::missing;
@@ -152,8 +152,9 @@
   CHECK(change->next == ReplicaGroup{5, {kA, kD, kC}, {kB}});
 }
 
-// What it held with the next member that was lost stood nowhere else, though it was back.
-TEST_CASE("a silent member whose place another disk takes is copied from until a majority holds everything") {
+// Guards against lost records: those that only it and the next lost member held were on no other disk, although it had
+// returned.
+TEST_CASE("an unresponsive member whose place another disk takes is copied from until a majority is whole") {
   told_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
@@ -166,7 +167,7 @@
   CHECK(given_up->rule.whole_majority);
 }
 
-TEST_CASE("a silent member that is back takes the place of a lost one where no other disk is free") {
+TEST_CASE("an unresponsive member that returns takes the place of a lost one where no other disk is free") {
   told_view view;
   view.states[kB] = replica_state::missing;
   view.free = {{kA, "1"}, {kC, "3"}, {kD, "1"}};
@@ -183,7 +184,7 @@
   CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
-TEST_CASE("a member that has left and is gone is copied from no more") {
+TEST_CASE("a member that has left and is gone is no longer copied from") {
   told_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}, {kC, "3"}};
@@ -193,17 +194,17 @@
   CHECK(change->rule.whole_majority);
 }
 
-// Simulation, mix `losses`, qasr, seeds 14 and 252: a node that had just started did not know yet that it was to be
-// emptied, and was named beside itself.
+// Guards against naming a node as its own substitute: a node that had just started did not know yet that it was
+// draining. Reproduced by simulation mix `losses`, qasr, seeds 14 and 252.
 TEST_CASE("a node that leaves takes no place in the group that it leaves") {
   told_view view;
   view.free = {{kA, "1"}, {kB, "2"}, {kC, "3"}};
   CHECK_FALSE(wanted_change({5, {kB, kC}, {kA}}, view, kReplicas));
 }
 
-// Results that could not be read any more: a pair lost one member while a third disk, which was to be emptied, still
-// held everything; the other one went on alone, and its disk was the next one lost.
-TEST_CASE("a member that is to be emptied takes the place of a lost one of a pair where no other disk is free") {
+// Guards against results lost for good: a pair lost one member while a third, draining disk still held every record;
+// the other member continued alone, and its disk was lost next.
+TEST_CASE("a draining member takes the place of a lost member of a pair where no other disk is free") {
   told_view view;
   view.states[kA] = replica_state::retiring;
   view.states[kC] = replica_state::missing;
@@ -213,11 +214,11 @@
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{6, {kA, kB}, {kC}});
   CHECK(change->rule.sole == kB);
-  SECTION("and stays while there is no other one") {
+  SECTION("and stays while no other disk is free") {
     view.states[kC] = replica_state::disk_replaced;
     CHECK(wanted_change({6, {kA, kB}, {}}, view, kReplicas) == std::nullopt);
   }
-  SECTION("and is let go once a new disk has joined") {
+  SECTION("and is removed once a new disk has joined") {
     const ReplicaIdentity new_c{kC.node, DiskId("disk-c2")};
     view.free = {{kB, "2"}, {new_c, "3"}};
     const auto joined = wanted_change({6, {kA, kB}, {}}, view, kReplicas);
@@ -229,7 +230,7 @@
   }
 }
 
-TEST_CASE("a silent member that is back joins a group of which one is to be emptied and cannot go yet") {
+TEST_CASE("an unresponsive member that returns joins a group with a draining member that cannot be removed yet") {
   told_view view;
   view.states[kA] = replica_state::retiring;
   view.retiring = kA.node;
@@ -239,7 +240,7 @@
   CHECK(change->next == ReplicaGroup{7, {kA, kB, kC}, {}});
 }
 
-TEST_CASE("a member that leaves is given up only once as many others are whole as the losses ask for") {
+TEST_CASE("a leaving member is given up only once enough others are whole to tolerate the configured losses") {
   told_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}};
@@ -250,8 +251,9 @@
   CHECK(change->rule.least_whole == 2);
 }
 
-// By reading: the silent member was given up first, which takes three votes of four; two could have taken the new disk.
-TEST_CASE("a lost disk is replaced before a silent member, whose end more members have to agree on") {
+// Guards against a stalled change: giving up the unresponsive member first takes three votes of four, while two votes
+// are enough to accept the new disk.
+TEST_CASE("a lost disk is replaced before an unresponsive member, whose removal needs more votes") {
   const ReplicaIdentity new_b{NodeId("b"), DiskId("disk-b2")};
   const ReplicaIdentity e{NodeId("e"), DiskId("disk-e")};
   told_view view;
@@ -264,7 +266,7 @@
   CHECK(change->rule.quorum == 2);
 }
 
-TEST_CASE("who stands among the leaving members takes no place, unless that rule is left out") {
+TEST_CASE("a leaving member takes no place, unless that rule is disabled") {
   told_view view;
   view.free = {{kA, "1"}, {kB, "2"}, {kC, "3"}};
   const ReplicaGroup group{5, {kB, kC}, {kA}};
--- a/tests/ledger/group_epochs_test.cpp
+++ b/tests/ledger/group_epochs_test.cpp
@@ -17,7 +17,7 @@
 const ReplicaIdentity kB{NodeId("b"), DiskId("disk-b")};
 const ReplicaIdentity kC{NodeId("c"), DiskId("disk-c")};
 
-/// How a member that is copied from stands.
+/// The standing of a member that is copied from.
 struct source_standing {
   wire::ReplicaStanding standing = wire::ReplicaStanding::NotSaid;
   bool whole = false;
@@ -50,7 +50,7 @@
     return {};
   }
   std::size_t copy_requests() const { return environment.sent_of(wire::Message::CopyRequest); }
-  /// The member with that number answers a page that was asked for: it holds nothing.
+  /// Member number @p member answers a requested page without records.
   void answer_empty(std::uint32_t member, const std::string& after, std::uint64_t epoch, source_standing source = {}) {
     wire::CopyReplyT reply;
     reply.epoch = epoch;
@@ -64,9 +64,9 @@
   void answer_whole(std::uint32_t member, std::uint64_t epoch, source_standing source = {}) {
     answer_empty(member, "p:", epoch, source);
     answer_empty(member, "a:", epoch, source);
-    environment.world.run_for(20ms);  // what was copied goes to the disk first
+    environment.world.run_for(20ms);  // waits until the copied records are synced
   }
-  /// The member with that number tells the ballot of one record, the same as any other member, and no promises.
+  /// Member number @p member sends the ballot of one record, the same for every member, and no promises.
   void offer(std::uint32_t member, std::uint64_t epoch) {
     answer_empty(member, "p:", epoch);
     wire::CopyReplyT page;
@@ -114,7 +114,7 @@
 
 }  // namespace
 
-TEST_CASE("an adopted epoch fences the one before, and tells the stale asker who holds the group") {
+TEST_CASE("an adopted epoch fences the previous one, and a refused caller receives the current members") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   CHECK(fixture.prepare(1).status == wire::ReplicaStatus::Granted);
@@ -126,10 +126,10 @@
   CHECK(from_wire(*refusal.description).replicas.at(2) == fresh);
   CHECK(fixture.prepare(2).status == wire::ReplicaStatus::Granted);
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
-  CHECK(fixture.prepare(2).status == wire::ReplicaStatus::Granted);  // never back
+  CHECK(fixture.prepare(2).status == wire::ReplicaStatus::Granted);  // does not return to an earlier epoch
 }
 
-TEST_CASE("an epoch survives a restart without anybody's help") {
+TEST_CASE("an epoch survives a restart without other nodes") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.replica->adopt_group(0, {2, {kA, kB}, {kC}});
@@ -147,7 +147,7 @@
   CHECK_FALSE(fixture.replica->synchronized());
 }
 
-TEST_CASE("those that stay copy from the one that leaves") {
+TEST_CASE("remaining members copy from the leaving one") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.environment.sent.clear();
@@ -156,20 +156,20 @@
   CHECK(fixture.prepare(2).status == wire::ReplicaStatus::Granted);
 }
 
-// Found by the model of epochs: a record that two others had confirmed meanwhile was out of sight of a majority.
+// Found by the epoch model: a majority did not hold a record that two other members had confirmed meanwhile.
 TEST_CASE("a member whose place another disk had taken copies again before it votes, and is copied from meanwhile") {
   const ReplicaIdentity other{NodeId("d"), DiskId("disk-d")};
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
-  SECTION("it has heard of it") { fixture.replica->adopt_group(0, {2, {other, kB, kC}, {}}); }
-  SECTION("it stood still meanwhile") {}
+  SECTION("it has received that epoch") { fixture.replica->adopt_group(0, {2, {other, kB, kC}, {}}); }
+  SECTION("it was suspended meanwhile") {}
   fixture.replica->adopt_group(0, {3, {kA, kB, other}, {}});
   CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);
   CHECK(fixture.ask_for_copy(3).status == wire::ReplicaStatus::Granted);
   fixture.environment.world.run_for(20ms);
   fixture.replica = fixture.make();
   fixture.replica->restore();
-  CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);  // nor after a restart
+  CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);  // not after a restart either
   CHECK(fixture.ask_for_copy(3).status == wire::ReplicaStatus::Granted);
   fixture.answer_whole(1, 3);
   CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);
@@ -185,8 +185,8 @@
   CHECK(fixture.prepare(3).status == wire::ReplicaStatus::Granted);
 }
 
-// Found by the model: what the lost disk and one other member had confirmed stood on that one alone, for good.
-TEST_CASE("those that stay copy from each other when a member goes without a successor") {
+// Found by the epoch model: records that the lost disk and one other member had confirmed stayed on that member only.
+TEST_CASE("remaining members copy from each other when a member is removed without a successor") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.environment.sent.clear();
@@ -195,7 +195,7 @@
   CHECK(fixture.prepare(2).status == wire::ReplicaStatus::Granted);
 }
 
-TEST_CASE("those that stay copy from each other when one that was leaving is gone") {
+TEST_CASE("remaining members copy from each other when a leaving one is gone") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.replica->adopt_group(0, {2, {kA, kB}, {kC}});
@@ -204,7 +204,7 @@
   CHECK(fixture.copy_requests() == 1);
 }
 
-// Found by the model: a confirmed record that only the leaving member held was out of sight.
+// Found by the epoch model: a majority lacked a confirmed record that only the leaving member held.
 TEST_CASE("a new disk votes only once it holds what the leaving member held, from it or from one that has copied it") {
   const ReplicaIdentity leaver{NodeId("d"), DiskId("disk-d")};
   constexpr std::uint32_t kNumberOfLeaver = 2;
@@ -213,7 +213,7 @@
   fixture.answer_whole(0, 3);
   CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);
   SECTION("from the leaving member") { fixture.answer_whole(kNumberOfLeaver, 3); }
-  SECTION("from a member that says that it holds it, asked once more") {
+  SECTION("from a member that reports that it holds it, copied once more") {
     fixture.copied(0, 3);
     CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);
     fixture.answer_whole(0, 3);
@@ -232,7 +232,7 @@
     fixture.answer_whole(1, 3);
     CHECK(fixture.prepare(3).status == wire::ReplicaStatus::Granted);
   }
-  SECTION("it left values to the lost one, which never came") {
+  SECTION("it waited for values of the lost one, which never arrived") {
     fixture.offer(1, 2);
     fixture.offer(2, 2);
     fixture.replica->adopt_group(0, {3, {kA}, {kC}});
@@ -243,7 +243,7 @@
     fixture.replica->adopt_group(0, {3, {kA}, {kC}});
     CHECK(fixture.prepare(3).status == wire::ReplicaStatus::Granted);
   }
-  SECTION("the leaving one had not voted, so what the lost one confirmed may stand with nobody that was copied from") {
+  SECTION("the leaving one had not voted, so no copied member may hold what the lost one confirmed") {
     fixture.answer_whole(2, 2);
     fixture.replica->adopt_group(0, {3, {kA}, {kC}});
     CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);
@@ -259,7 +259,7 @@
   }
 }
 
-TEST_CASE("a replica tells what its disk knows of its groups") {
+TEST_CASE("a replica reports the group descriptions stored on its disk") {
   Fixture fixture;
   const ReplicaGroup group{2, {kA, kB}, {kC}};
   fixture.replica->adopt_group(0, group);
@@ -279,15 +279,15 @@
   CHECK(fixture.prepare(2).status == wire::ReplicaStatus::NotReady);
   CHECK_FALSE(fixture.replica->left_all_groups(kLeastCopies));
   fixture.copied(0, 2);
-  fixture.copied(1, 1);  // of an earlier epoch: does not count
+  fixture.copied(1, 1);  // a report of an earlier epoch does not count
   CHECK_FALSE(fixture.replica->left_all_groups(kLeastCopies));
   fixture.copied(1, 2);
   CHECK(fixture.replica->left_all_groups(kLeastCopies));
 }
 
-// Results that could not be read any more: a disk was emptied and taken away while its group had one other member,
-// whose disk was the next one lost.
-TEST_CASE("a disk that is emptied stays until as many others hold everything as the losses ask for") {
+// Guards against results lost for good: a disk was drained and removed while its group had one other member, whose disk
+// was lost next.
+TEST_CASE("a draining disk stays until enough others hold everything to tolerate the configured losses") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.replica->adopt_group(0, {2, {kB, kC}, {kA}});
@@ -304,9 +304,10 @@
   CHECK(fixture.replica->left_all_groups(kLeastCopies));
 }
 
-// Fleet runner, --faults=losses, seed 11 at abc1e0f, three disks: a node whose disk had been lost was
-// asked to leave a second after its start, said at once that all it had held stood elsewhere and was taken away. Its
-// group went on naming the lost disk, and the next lost disk left one member of three: no job could be read any more.
+// Guards against a premature removal: a node whose disk had been lost was asked to leave 1 s after its start, reported
+// at once that other nodes held all its records, and was removed. Its group still named the lost disk, and the next
+// lost disk left one member of three: no job could be read. Seen in the fleet runner with --faults=losses, seed 11, 3
+// disks.
 TEST_CASE("a node with a new disk has not left a group that names it with the lost one") {
   Fixture fixture;
   const ReplicaIdentity lost{kA.node, DiskId("disk-lost")};
@@ -316,10 +317,10 @@
     const ReplicaIdentity d{NodeId("d"), DiskId("disk-d")};
     fixture.replica->adopt_group(0, {3, {d, kB, kC}, {}});
     CHECK(fixture.replica->left_all_groups(kLeastCopies));
-    fixture.replica->adopt_group(0, {2, {lost, kB, kC}, {}});  // old word
+    fixture.replica->adopt_group(0, {2, {lost, kB, kC}, {}});  // outdated description
     CHECK(fixture.replica->left_all_groups(kLeastCopies));
   }
-  SECTION("until the others hold all where nobody replaces it") {
+  SECTION("until the others hold everything where no disk replaces it") {
     fixture.replica->adopt_group(0, {3, {kB, kC}, {kA}});
     CHECK_FALSE(fixture.replica->left_all_groups(kLeastCopies));
     fixture.copied(0, 3);
@@ -328,7 +329,7 @@
   }
 }
 
-TEST_CASE("a node that knows of no group yet cannot say that it has left all") {
+TEST_CASE("a node that knows of no group yet does not report that it has left all") {
   Fixture fixture;
   CHECK_FALSE(fixture.replica->left_all_groups(kLeastCopies));
   fixture.replica->adopt_group(0, {1, {kB, kC}, {}});
@@ -336,8 +337,8 @@
 }
 
 TEST_CASE("a disk that a later epoch has replaced is obsolete, a node that merely left is not") {
-  // Seeds 4 and 12 of the simulation's large site: a scheduler thawed with an old view of its peers took a group's new
-  // disk for the wrong one and named the lost disk again; the group then stood still.
+  // Guards against a group that stalls: a scheduler resumed with an outdated view of its peers, mistook a group's new
+  // disk for an obsolete one and named the lost disk again. Seen in the simulation's large site, seeds 4 and 12.
   TestEnvironment environment;
   Counters counters;
   Client client(environment, counters, [](const NodeId& node) { return std::optional(PeerAddress(node.str())); });
@@ -352,8 +353,8 @@
 }
 
 TEST_CASE("a disk that was no member for an epoch copies again before it votes") {
-  // It was away, another disk took its place, and it came back when that one was lost. What was confirmed meanwhile by
-  // the others it does not hold.
+  // The disk was unavailable, another one took its place, and it returned when that one was lost. It does not hold what
+  // the other members confirmed meanwhile.
   Fixture fixture;
   const ReplicaIdentity d{NodeId("d"), DiskId("disk-d")};
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
@@ -363,8 +364,8 @@
   CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);
 }
 
-// Simulation, mix `losses`, qasr, seed 14: the new disk was only leaving when a scheduler with an old view heard of it;
-// it was dropped as lost, before anybody had copied what it held.
+// Guards against lost records: the new disk was already leaving when a scheduler with an outdated view learned of it,
+// and it was removed as lost before any member had copied its records. Seen in simulation mix `losses`, qasr, seed 14.
 TEST_CASE("a replaced disk is obsolete also where the new one is leaving already") {
   TestEnvironment environment;
   Counters counters;
@@ -383,9 +384,9 @@
 
 }  // namespace
 
-// One voting member of three was left when another disk was lost before the first new one had copied: no epoch could be
-// decided any more, and every reading failed for good.
-TEST_CASE("a member that still copies votes on who holds the group next, and on nothing else") {
+// Guards against a group that stalls for good: a second disk was lost before the first new one had copied, which left
+// one voting member of three; no epoch could be decided, and every read failed.
+TEST_CASE("a member that still copies votes on the next epoch, and on nothing else") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {2, {kA, kB, kC}, {}});
   const wire::PromiseT decision = fixture.prepare(2, group_config_key(0, 3));
@@ -397,8 +398,8 @@
   CHECK(fixture.prepare(2).status == wire::ReplicaStatus::NotReady);
 }
 
-// A proposer of the version before would have decided with members that hold nothing.
-TEST_CASE("a member that still copies grants no decision to a proposer that does not look at it") {
+// A proposer of the previous version does not check the standing, and would decide with members that hold no record.
+TEST_CASE("a member that still copies grants no decision to a proposer that does not read its standing") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {2, {kA, kB, kC}, {}});
   wire::PrepareT request;
@@ -412,8 +413,8 @@
   CHECK(fixture.environment.sent.back().body.AsPromise()->status == wire::ReplicaStatus::NotReady);
 }
 
-// By the model a leaving member that had voted counted for those that stay; none ever said so.
-TEST_CASE("a member that voted says so in the epoch that makes it a leaving one") {
+// In the epoch model a leaving member that had voted counts for the remaining ones; replicas did not report that.
+TEST_CASE("a member that voted reports that in the epoch in which it leaves") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.replica->adopt_group(0, {2, {kB, kC}, {kA}});
@@ -421,10 +422,10 @@
   CHECK(page.status == wire::ReplicaStatus::Granted);
   CHECK(page.standing == wire::ReplicaStanding::Admitted);
   fixture.replica->adopt_group(0, {3, {kB, kA}, {}});
-  CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);  // what was confirmed meanwhile it lacks
+  CHECK(fixture.prepare(3).status == wire::ReplicaStatus::NotReady);  // it lacks what was confirmed meanwhile
 }
 
-TEST_CASE("a former member does not vote on who holds the group next") {
+TEST_CASE("a former member does not vote on the next epoch") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.replica->adopt_group(0, {2, {kB, kC}, {kA}});
@@ -441,7 +442,7 @@
     fixture.answer_whole(1, 2, kVotes);
     CHECK(fixture.prepare(2, group_config_key(0, 3)).whole);
   }
-  SECTION("one that does not vote says nothing of what the others hold") {
+  SECTION("one that does not vote does not show what the others hold") {
     fixture.answer_whole(1, 2);
     CHECK_FALSE(fixture.prepare(2, group_config_key(0, 3)).whole);
   }
@@ -454,15 +455,15 @@
   }
 }
 
-// A new disk waited for a member that had gone dark, though another one held everything.
-TEST_CASE("a new disk votes once it has copied from a member that holds everything, while another one is silent") {
+// Guards against a new disk that waits for an unresponsive member although another one is whole.
+TEST_CASE("a new disk votes once it has copied from a whole member, while another one is unresponsive") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {2, {kB, kC, kA}, {}});
   SECTION("whole from the first page on") {
     fixture.answer_whole(0, 2, kWhole);
     CHECK(fixture.prepare(2).status == wire::ReplicaStatus::Granted);
   }
-  SECTION("whole only since: it is copied from once more") {
+  SECTION("whole only after the first copy: it is copied from once more") {
     fixture.answer_whole(0, 2, kVotes);
     CHECK(fixture.prepare(2).status == wire::ReplicaStatus::NotReady);
     wire::CopyStatusT status;
@@ -483,7 +484,7 @@
   CHECK(fixture.prepare(2, group_config_key(0, 3)).whole);
 }
 
-TEST_CASE("votes on who holds the group next are not copied") {
+TEST_CASE("votes on the next epoch are not copied") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {2, {kB, kC, kA}, {}});
   fixture.answer_empty(0, "p:", 2);
--- a/tests/ledger/group_health_test.cpp
+++ b/tests/ledger/group_health_test.cpp
@@ -1,7 +1,7 @@
-/// All jobs of a fleet could not be read for 12 s in calm: every gateway logged that its readings ran out of time, none
-/// logged which members of the group had been asked and why they did not count, and nothing anywhere told that the
-/// group had no majority. `replica_admitted` was logged, its opposite was not. What a node can know of its groups
-/// without asking for anything in calm is told now: one line when a group loses its majority, one when it has it again.
+/// Guards against lost majorities that are not logged. All jobs of a fleet could not be read for 12 s without any
+/// fault: every gateway logged that its reads timed out, but not which members of the group had been asked and why they
+/// did not count. `replica_admitted` was logged, its opposite was not. A node now logs what it knows of its groups
+/// without extra requests in normal operation: one line when a group loses its majority, one when it regains it.
 #include <catch2/catch.hpp>
 
 #include "ledger/group_health.hpp"
@@ -69,7 +69,7 @@
     members[kC.node].disk_id = kNewC.disk.str();
     adopt({2, {kA, kB, kNewC}, {}});
   }
-  /// A member answers the question how it stands.
+  /// @p member reports its standing, as in its reply to a status request.
   void say(const ReplicaIdentity& member, std::uint64_t epoch, wire::ReplicaStanding standing, bool complete = false) {
     wire::CopyStatusT status;
     status.epoch = epoch;
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-TEST_CASE("a group that loses its majority is told once, with each member's reason, and once when it has it again") {
+TEST_CASE("a lost majority is logged once, with each member's reason, and once when it is regained") {
   fixture node(false);
   CHECK(node.log.lines.empty());
   CHECK(node.gauge() == 0);
@@ -114,27 +114,27 @@
   REQUIRE(node.log.count("group_majority_regained") == 1);
   CHECK(node.log.lines.back().find("counting=2 needed=2") != std::string::npos);
   CHECK(node.gauge() == 0);
-  CHECK(node.questions() == 0);  // the members have been in the group since it was founded
+  CHECK(node.questions() == 0);  // founding members need no status request
 }
 
-TEST_CASE("a majority that comes and goes is not told at every turn") {
+TEST_CASE("a majority that comes and goes is not logged at every change") {
   fixture node(false);
   node.set(kB, wire::MemberState::Dead);
   for (int turn = 0; turn < 60; ++turn) {
     node.set(kC, turn % 2 == 0 ? wire::MemberState::Suspect : wire::MemberState::Alive);
     node.run_for(1s);
   }
-  CHECK(node.log.lines.empty());  // never gone for long enough
+  CHECK(node.log.lines.empty());  // never lost for long enough
   for (int turn = 0; turn < 20; ++turn) {
     node.set(kC, turn % 2 == 0 ? wire::MemberState::Suspect : wire::MemberState::Alive);
     node.run_for(3s);
   }
   CHECK(node.log.count("group_majority_lost") >= 3);
-  CHECK(node.log.count("group_majority_lost") <= 6);  // one in 10 s
+  CHECK(node.log.count("group_majority_lost") <= 6);  // at most one in 10 s
   CHECK(node.log.lines.size() <= 12);
 }
 
-TEST_CASE("in calm no member is asked anything, at a new epoch only the disk that is new") {
+TEST_CASE("without changes no member is asked, at a new epoch only the new disk") {
   fixture node(true);
   node.run_for(60s);
   CHECK(node.questions() == 0);
@@ -177,7 +177,7 @@
   node.run_for(1s);
   node.say(kNewC, 0, wire::ReplicaStanding::UnknownEpoch);
   CHECK(node.state_of(2) == member_state::unknown_epoch);
-  // A version that tells only whether it has copied all may vote before that.
+  // A version that reports only whether it has copied everything may vote before it has.
   node.say(kNewC, 2, wire::ReplicaStanding::NotSaid);
   CHECK(node.state_of(2) == member_state::counts);
   node.say(kNewC, 2, wire::ReplicaStanding::NotSaid, true);
@@ -189,10 +189,10 @@
   CHECK(unanswered.state_of(2) == member_state::silent);
   const std::size_t asked = unanswered.questions();
   unanswered.run_for(64s);
-  CHECK(unanswered.questions() <= asked + 8);  // with growing pauses
+  CHECK(unanswered.questions() <= asked + 8);  // with growing intervals
 }
 
-TEST_CASE("a member that answers probes and no request of the ledger is silent") {
+TEST_CASE("a member that answers probes but no ledger requests is unresponsive") {
   fixture node(false);
   for (int request = 0; request < 12; ++request) {
     for (const ReplicaIdentity& member : {kA, kB, kC}) {
@@ -206,11 +206,11 @@
   CHECK(node.state_of(2) == member_state::silent);
   node.health->on_heard(fixture::address_of(kB.node));
   CHECK(node.state_of(1) == member_state::counts);
-  node.run_for(5s);  // nobody asks any more: nothing is known
+  node.run_for(5s);  // no requests for a while: the state is unknown
   CHECK(node.state_of(2) == member_state::counts);
 }
 
-TEST_CASE("refusals of a node's own requests tell who is not admitted, until the member says otherwise") {
+TEST_CASE("refusals of a node's own requests show which member is not admitted, until it reports otherwise") {
   fixture node(false);
   node.client.read("k/1", [](const Result<OptionalValue>&) {});
   std::optional<std::uint64_t> request;
@@ -227,7 +227,7 @@
   node.client.handle(fixture::address_of(kB.node), refusal);
   CHECK(node.state_of(1) == member_state::not_admitted);
   node.run_for(6s);
-  CHECK(node.state_of(1) == member_state::silent);  // asked since, without an answer
+  CHECK(node.state_of(1) == member_state::silent);  // sent requests since, without a reply
   node.say(kB, 1, wire::ReplicaStanding::Copying);
   node.run_for(30s);
   CHECK(node.state_of(1) == member_state::not_admitted);
@@ -235,7 +235,7 @@
   CHECK(node.state_of(1) == member_state::counts);
 }
 
-TEST_CASE("a disk that joined in a later epoch does not count before it is heard to be admitted") {
+TEST_CASE("a disk that joined in a later epoch does not count before it is reported as admitted") {
   const bool with_disk = GENERATE(false, true);
   fixture node(with_disk);
   node.replace_c();
@@ -251,9 +251,9 @@
   CHECK(node.state_of(2) == member_state::counts);
 }
 
-// A group was down to one member after its other one had died; that one came back with a new disk, which the next epoch
-// named, and a gateway said at once that the majority was there again, with the empty disk as admitted.
-TEST_CASE("a majority is not regained by a new disk that nobody has heard to be admitted") {
+// Guards against a majority reported too early: one of two members died and came back with a new disk, which the next
+// epoch named, and a gateway at once logged the majority as regained and the empty disk as admitted.
+TEST_CASE("a majority is not regained by a new disk that has not been reported as admitted") {
   fixture node(false, {3, {kC, kA}, {}});
   node.say(kA, 3, wire::ReplicaStanding::Admitted);
   node.say(kC, 3, wire::ReplicaStanding::Admitted);
@@ -273,9 +273,9 @@
   CHECK(node.log.count("group_majority_regained") == 1);
 }
 
-// The members were one whose disk had been lost with all power and one that had never copied. The node of the lost
-// disk, back with a new one and a member of nothing, called the other one admitted.
-TEST_CASE("a node that is no member of a group calls none of its members admitted unheard") {
+// Guards against a false report: the disk of one member was lost in a power loss of all nodes, and the other member had
+// never copied. The node of the lost disk, back with a new one and no member, reported the other member as admitted.
+TEST_CASE("a node that is no member of a group reports no member as admitted without a report of it") {
   const ReplicaIdentity lost{NodeId("a"), DiskId("disk-of-before")};
   fixture node(true, {5, {lost, kC}, {}});
   node.run_for(2s);
@@ -285,7 +285,8 @@
   CHECK(node.questions() > 0);
 }
 
-TEST_CASE("a group whose members refuse after a joint start is told as lost, and not as regained when nobody reads") {
+TEST_CASE(
+    "a group whose members refuse after a joint start is logged as lost, and not as regained while nobody reads") {
   fixture node(false);
   for (const ReplicaIdentity& member : {kA, kB}) {
     node.health->on_refusal(fixture::address_of(member.node), 0, 1, wire::ReplicaStatus::NotReady);
@@ -296,7 +297,7 @@
   CHECK(node.gauge() == 1);
 }
 
-TEST_CASE("a refusal counts also where the node has learnt of the epoch within the same moment") {
+TEST_CASE("a refusal counts also where the node learns of the epoch at the same time") {
   fixture node(false);
   node.adopt({2, {kA, kB, kC}, {}});
   for (const ReplicaIdentity& member : {kA, kB}) {
@@ -306,7 +307,8 @@
   CHECK(node.log.count("group_majority_lost") == 1);
 }
 
-TEST_CASE("a node without a disk asks members of a later epoch, one question a second at most, until they have told") {
+TEST_CASE(
+    "a node without a disk asks members of a later epoch, at most one request a second, until they have replied") {
   fixture node(false, {5, {kA, kB, kC}, {}});  // runs for 6 s
   CHECK(node.questions() >= 3);
   CHECK(node.questions() <= 7);
@@ -321,8 +323,8 @@
   CHECK(node.log.lines.empty());
 }
 
-TEST_CASE("a group is not told as lost for want of questions that have not gone out yet") {
-  constexpr std::uint32_t kGroups = 8;  // 24 questions at one a second
+TEST_CASE("a group is not logged as lost while its status requests are not sent yet") {
+  constexpr std::uint32_t kGroups = 8;  // 24 requests at one a second
   TestEnvironment environment;
   Counters counters;
   kept_lines log;
@@ -357,7 +359,7 @@
   CHECK(health.view(kGroups - 1).counting() == 3);
 }
 
-TEST_CASE("a disk that is not admitted for long is told, with the members that it waits for") {
+TEST_CASE("a disk that is not admitted for a long time is logged, with the members that it waits for") {
   const ReplicaIdentity lost{NodeId("a"), DiskId("disk-of-before")};
   fixture node(true, {1, {lost, kB, kC}, {}});
   CHECK(node.replica->list_unadmitted().empty());  // not a member
@@ -374,7 +376,7 @@
   CHECK(node.log.count("group_majority_lost") == 1);
 }
 
-TEST_CASE("a replica tells the other members when it is admitted, and an asker that it knows no such epoch") {
+TEST_CASE("a replica answers a status request for an epoch that it does not know with its own epoch") {
   fixture node(true);
   wire::CopyStatusRequestT request;
   request.epoch = 5;
@@ -388,7 +390,7 @@
   CHECK(answer.standing == wire::ReplicaStanding::UnknownEpoch);
 }
 
-TEST_CASE("operators are told for how long a member is in its state, and what that is known by") {
+TEST_CASE("operators see for how long a member has been in its state, and the source of that knowledge") {
   fixture node(false);
   member_view b = node.health->view(0).members.at(1);
   CHECK(node.health->explain(0, b) == "founding member");
@@ -408,7 +410,7 @@
   CHECK(node.health->explain(0, node.health->view(0).members.at(2)) == "its node runs with disk-c3");
 }
 
-TEST_CASE("a node that copies tells operators how far it is and whom it waits for") {
+TEST_CASE("operators see how far a copying node is and which members it waits for") {
   const ReplicaIdentity lost{NodeId("a"), DiskId("disk-of-before")};
   fixture node(true, {1, {lost, kB, kC}, {}});
   node.adopt({2, {kA, kB, kC}, {}});
@@ -418,7 +420,7 @@
   CHECK(node.health->explain(0, own) == "copied 0 KB, waits for b/disk-b, waits for c/disk-c");
 }
 
-TEST_CASE("a member that grants a request is admitted, and one that only finds a ballot too low, too") {
+TEST_CASE("a member that grants a request, or refuses it only for a low ballot, is admitted") {
   fixture node(false, {5, {kA, kB, kC}, {}});
   node.environment.sent.clear();
   node.client.read("k/1", [](const Result<OptionalValue>&) {});
@@ -442,9 +444,9 @@
   CHECK(node.state_of(2) != member_state::counts);
 }
 
-// Four groups counted on disks that were gone for good; on-call read their states and could not tell these from disks
-// that would be back.
-TEST_CASE("a group without a majority tells which disks it names are gone for good, of each once") {
+// Guards against states that do not show whether a disk can return: four groups depended on permanently gone disks, and
+// on-call engineers could not tell these from disks that would be back.
+TEST_CASE("a group without a majority logs which of its disks are permanently gone, each set once") {
   fixture node(false, {1, {kA, kB, kC}, {ReplicaIdentity{NodeId("d"), DiskId("disk-d")}}});
   node.health->judge_losses([] { return Duration(60s); },
                             [](const NodeId& id) { return std::optional(id == NodeId("d")); });
