--- a/tests/ledger/epoch_model.cpp
+++ b/tests/ledger/epoch_model.cpp
@@ -1104,8 +1104,8 @@
     for (unsigned record = 0; record < before.written; ++record) {
       const bool had_enough = size_of(before.held[record]) >= least;
       if (had_enough && size_of(after.held[record]) < least) {
-        violation = name_of(node) + " was drained and removed, and record " + std::to_string(record) + " is only on " +
-                    text_of(after.held[record]);
+        violation = name_of(node) + " was drained and removed, and record " + std::to_string(record) + " is on " +
+                    text_of(after.held[record]) + " only";
       }
     }
   }
--- a/tests/ledger/replica_journal_test.cpp
+++ b/tests/ledger/replica_journal_test.cpp
@@ -25,7 +25,7 @@
     start();
   }
 
-  /// The process starts anew with its disk.
+  /// Restarts the process with its disk.
   void start() {
     journal.reset();
     replica = std::make_unique<Replica>(environment, storage, counters, kA.node, kA.disk,
@@ -34,7 +34,7 @@
     journal->start();
     replica->restore();
   }
-  /// The member with that number sends a page of its copy.
+  /// Member number @p number sends a page of its copy.
   void send_page(std::uint32_t number, const std::string& after, bool ballots_only) {
     wire::CopyReplyT reply;
     reply.epoch = 2;
@@ -54,7 +54,7 @@
     send_page(number, "p:", true);
     send_page(number, "a:", true);
     send_page(number, "a:", false);
-    run_for(20ms);  // what was copied goes to the disk first
+    run_for(20ms);  // waits until the copied records are synced
   }
   wire::ScanReplyT ask() {
     wire::ScanRequestT scan;
@@ -82,7 +82,7 @@
 
 }  // namespace
 
-TEST_CASE("a new disk's way to its first vote is told step by step") {
+TEST_CASE("each step of a new disk until its first vote is logged") {
   fixture node;
   node.replica->adopt_group(0, {2, {kA, kB, kC}, {}});
   REQUIRE(node.log.lines.size() == 2);
@@ -97,13 +97,14 @@
         std::string::npos);
   node.send_all(2);
   REQUIRE(node.log.count("replica_admitted") == 1);
-  CHECK(node.log.lines.back().starts_with("replica_admitted group=0 epoch=2 took_ms=510"));  // and the time of a sync
+  CHECK(node.log.lines.back().starts_with(
+      "replica_admitted group=0 epoch=2 took_ms=510"));  // 5.1 s and the time of a sync
   CHECK(node.log.lines.back().ends_with(" pages=6 records=2 bytes=2000 restarts=0"));
   node.run_for(60s);
   CHECK(node.log.count("replica_copying") == 1);
 }
 
-TEST_CASE("a copy that stands still is told of more and more rarely, one that goes on every 5 s") {
+TEST_CASE("a stalled copy is logged with growing intervals, one that proceeds every 5 s") {
   fixture node;
   node.replica->adopt_group(0, {2, {kA, kB, kC}, {}});
   node.run_for(300s);
@@ -111,7 +112,7 @@
   CHECK(node.log.count("replica_copying") <= 8);
 }
 
-TEST_CASE("a disk that returns after epochs that it has not seen says what makes it copy") {
+TEST_CASE("a disk that returns after missed epochs logs why it copies") {
   fixture node;
   node.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   CHECK(node.log.lines.back().starts_with("epoch_adopted group=0 from_epoch=0 epoch=1 role=voting copies_for=none"));
@@ -127,7 +128,7 @@
   CHECK(node.log.lines.back().starts_with("epoch_adopted group=0 from_epoch=3 epoch=4 role=left"));
 }
 
-TEST_CASE("a member that catches up with its disk has no lines unless that lasts") {
+TEST_CASE("a member that catches up with its disk logs nothing unless that takes long") {
   fixture node;
   node.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   const std::size_t lines = node.log.lines.size();
@@ -140,7 +141,7 @@
   CHECK(node.log.count("replica_copying") >= 1);
 }
 
-TEST_CASE("a member that refuses a scan says how far it has copied and for how long") {
+TEST_CASE("a member that refuses a scan reports how far it has copied and for how long") {
   fixture node;
   CHECK(node.ask().known_epoch == 0);
   CHECK(node.ask().standing == wire::ReplicaStanding::UnknownEpoch);
@@ -161,7 +162,7 @@
   CHECK(granted.copied_bytes == 0);
 }
 
-TEST_CASE("a disk that nobody asks for a group's records tells it, with growing pauses, until somebody does") {
+TEST_CASE("a disk that receives no requests for a group logs that, with growing intervals, until one arrives") {
   fixture node;
   node.replica->adopt_group(3, {1, {kA, kB, kC}, {}});
   node.run_for(12s);
--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -15,7 +15,7 @@
 const PeerAddress kCaller("10.0.0.9:1");
 constexpr std::size_t kLeastCopies = least_copies(3);
 
-/// Counts the flushes that it is asked for.
+/// Counts the requested flushes.
 class flush_counting_storage : public simulation::SimStorage {
  public:
   using SimStorage::SimStorage;
@@ -75,7 +75,7 @@
     return {};
   }
 
-  /// What has been copied goes to the disk.
+  /// Waits until the copied records are synced.
   void sync() { environment.world.run_for(20ms); }
 
   /// @return the keys whose values the last copy request asks for.
@@ -122,7 +122,7 @@
 
 }  // namespace
 
-TEST_CASE("a replica promises upwards only and keeps what it accepted") {
+TEST_CASE("a replica promises only higher ballots and keeps what it accepted") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   CHECK(fixture.prepare(1, {5, 1}).status == wire::ReplicaStatus::Granted);
@@ -135,7 +135,7 @@
   CHECK(from_wire(promise.accepted) == Ballot{5, 1});
 }
 
-TEST_CASE("replies wait for the disk") {
+TEST_CASE("replies are sent only after the sync") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   wire::AcceptT request;
@@ -149,7 +149,7 @@
   CHECK(fixture.environment.sent.size() == 1);
 }
 
-TEST_CASE("a scan tells only what a loss of power would leave") {
+TEST_CASE("a scan returns only what would survive a power loss") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   fixture.environment.world.run_for(20ms);
@@ -173,7 +173,7 @@
   CHECK(fixture.last(wire::Message::ScanReply).AsScanReply()->status == wire::ReplicaStatus::Granted);
 }
 
-TEST_CASE("what is synced is told at once and costs no flush") {
+TEST_CASE("synced data is returned at once and without a flush") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   fixture.accept(1, {1, 1}, {1});
@@ -195,7 +195,7 @@
     fixture.replica->handle(kCaller, copy);
     CHECK(fixture.last(wire::Message::CopyReply).AsCopyReply()->records.size() == 1);
   }
-  SECTION("to one that asks how far the copy is") {
+  SECTION("to a node that requests the copy status") {
     wire::CopyStatusRequestT status;
     status.epoch = 1;
     fixture.replica->handle(kCaller, status);
@@ -205,14 +205,14 @@
   CHECK(fixture.storage.flushes == flushes);
 }
 
-TEST_CASE("an epoch is told only once a loss of power would leave it") {
+TEST_CASE("an epoch is reported only once it would survive a power loss") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   fixture.environment.world.run_for(20ms);
   fixture.replica->on_group_map(fixture.map(2));
   fixture.environment.sent.clear();
   wire::Message answer = wire::Message::NONE;
-  SECTION("to one that prepares") {
+  SECTION("to a node that sends a prepare") {
     wire::PrepareT request;
     request.epoch = 1;
     request.ballot = to_wire({1, 1});
@@ -220,7 +220,7 @@
     fixture.replica->handle(kCaller, request);
     answer = wire::Message::Promise;
   }
-  SECTION("to one that sends a value") {
+  SECTION("to a node that sends a value") {
     wire::AcceptT request;
     request.epoch = 1;
     request.ballot = to_wire({1, 1});
@@ -245,7 +245,7 @@
   CHECK(fixture.environment.sent_of(answer) == 1);
 }
 
-TEST_CASE("a replica whose disk refuses writes takes part in nothing, and goes on from what the disk holds") {
+TEST_CASE("a replica whose disk refuses writes does not take part, and later resumes from what the disk holds") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   CHECK(fixture.accept(1, {2, 1}, {7}).status == wire::ReplicaStatus::Granted);
@@ -266,7 +266,7 @@
   CHECK(fixture.replica->synchronized());
 }
 
-TEST_CASE("an epoch lasts only with the marks that belong to it") {
+TEST_CASE("an epoch is written together with its marks") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   CHECK(fixture.storage.last_together == std::vector<std::string>{"m/0000/", "g/0000/"});
@@ -277,7 +277,7 @@
   CHECK(fixture.prepare(1, {1, 1}).status == wire::ReplicaStatus::UnknownEpoch);
   fixture.replica->on_group_map(fixture.map(1));
   CHECK(fixture.prepare(2, {1, 1}).status == wire::ReplicaStatus::UnknownEpoch);
-  fixture.replica->on_group_map(fixture.map(2));  // a disk that has not seen an epoch copies again
+  fixture.replica->on_group_map(fixture.map(2));  // a disk that missed an epoch copies again
   fixture.replica->on_group_map(fixture.map(3));
   CHECK(fixture.prepare(1, {1, 1}).status == wire::ReplicaStatus::StaleEpoch);
   CHECK(fixture.prepare(3, {1, 1}).status == wire::ReplicaStatus::Granted);
@@ -305,7 +305,7 @@
   CHECK(promise.value == std::vector<std::uint8_t>{2});
 }
 
-TEST_CASE("a value that two sources hold alike is copied once") {
+TEST_CASE("a value that two sources hold with the same ballot is copied once") {
   ReplicaFixture fixture("disk-new");
   fixture.replica->on_group_map(fixture.map(2, "disk-new"));
   CopySourceScript b(fixture, 1, "b");
@@ -316,7 +316,7 @@
   b.answer("a:", true);
   CHECK(fixture.wanted_keys() == std::vector<std::string>{"k/1"});
   fixture.environment.sent.clear();
-  c.answer("a:", true);  // being asked of b
+  c.answer("a:", true);  // already requested from b
   CHECK(fixture.environment.sent.empty());
   CHECK_FALSE(fixture.replica->synchronized());
   b.answer("a:", false);
@@ -326,7 +326,8 @@
 }
 
 TEST_CASE("two disks replaced at the same time do not wait for each other") {
-  // Day trouble-2 of qhs-amman-grown: two disks of a group lost at once; each new one waited for the other to be full.
+  // Guards against a deadlock: when two disks of a group were lost at once, each new one waited for the other to have
+  // copied everything.
   ReplicaFixture fixture("disk-new");
   fixture.replica->on_group_map(fixture.map(2, "disk-new"));
   CopySourceScript b(fixture, 1, "b");
@@ -345,14 +346,14 @@
     CHECK(fixture.replica->synchronized());
     CHECK(fixture.prepare(2, {9, 1}).value == std::vector<std::uint8_t>{1});
   }
-  SECTION("of another epoch it does not") {
+  SECTION("with a refusal of another epoch it does not") {
     unready.epoch = 1;
     fixture.replica->handle(PeerAddress("c"), unready);
     CHECK_FALSE(fixture.replica->synchronized());
   }
 }
 
-TEST_CASE("a replica that is not full itself says which one it is") {
+TEST_CASE("a replica that has not copied everything names itself in its refusal") {
   ReplicaFixture fixture("disk-new");
   fixture.replica->on_group_map(fixture.map(2, "disk-new"));
   wire::CopyRequestT request;
@@ -365,7 +366,7 @@
   CHECK(reply.AsCopyReply()->replica == 0);
 }
 
-TEST_CASE("a copy starts again when a source has lost what it offered") {
+TEST_CASE("a copy restarts when a source has lost a record that it offered") {
   ReplicaFixture fixture("disk-new");
   fixture.replica->on_group_map(fixture.map(2, "disk-new"));
   CopySourceScript b(fixture, 1, "b");
@@ -382,7 +383,7 @@
   CHECK_FALSE(fixture.replica->synchronized());
 }
 
-TEST_CASE("a replica that comes back with its disk is sent no value again") {
+TEST_CASE("a replica that returns with its disk copies no value again") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   CHECK(fixture.accept(1, {7, 1}, {2}).status == wire::ReplicaStatus::Granted);
@@ -415,11 +416,12 @@
   CHECK(fixture.counters["ledger_corrupted_reads_total"] == 1);
 }
 
-// Nodes with a disk that came back empty kept their sources busy: every 200 ms each page that had not come yet was
-// asked for again, of every source of every group, and each of these questions was answered with up to 1 MB. A source
-// that took longer than that for a page was sent the same question over and over; readers waited behind the answers,
-// and, as inferred and not traced, a node that copied and was ended for its memory (288 MB of 280) held many of them.
-TEST_CASE("a source that is slow is not asked for the same page again and again") {
+// Guards against overloaded sources. Nodes that returned with an empty disk repeated each request for a missing page
+// every 200 ms, to every source of every group, and each request was answered with up to 1 MB. A source that needed
+// more than 200 ms for a page received the same request over and over, and readers waited behind the answers. A copying
+// node was killed for its memory (288 MB of 280), presumably because it held many of these answers; this was not
+// traced.
+TEST_CASE("a slow source does not receive repeated requests for the same page") {
   ReplicaFixture fixture("disk-new");
   fixture.environment.sent.clear();
   fixture.replica->on_group_map(fixture.map(2, "disk-new"));
@@ -428,12 +430,13 @@
   for (const auto& message : fixture.environment.sent) {
     asked_b += message.to == PeerAddress("b") && message.body.type == wire::Message::CopyRequest ? 1 : 0;
   }
-  CHECK(asked_b >= 2);  // a question may be lost
+  CHECK(asked_b >= 2);  // a request may be lost
   CHECK(asked_b <= 4);
 }
 
-// At a fifth of a core a page of values takes longer than the second that it was waited for: it stood behind those of
-// the other groups. It was asked for again, each of the two answers drew a further question, and 47.6 MB came of 20.1.
+// Guards against values that are copied twice. At a fifth of a core a page of values takes longer than its timeout of 1
+// s, since it is queued behind those of other groups. It was requested again, each of the two answers caused a further
+// request, and 47.6 MB were transferred instead of 20.1 MB.
 namespace {
 
 /// Two groups that this replica copies from b alone.
@@ -442,7 +445,7 @@
     ReplicaGroup group{2, {{NodeId("a"), DiskId("disk-new")}, {NodeId("b"), DiskId("disk-b")}}, {}};
     fixture.replica->on_group_map({{group, group}});
   }
-  /// b answers a question of @p group with the records @p from to before @p until.
+  /// Member b answers a copy request of @p group with the records from @p from up to but not including @p until.
   void answer(std::uint32_t group, const std::string& after, bool ballots_only, unsigned from, unsigned until) {
     wire::CopyReplyT reply;
     reply.group = group;
@@ -460,7 +463,7 @@
     }
     fixture.replica->handle(PeerAddress("b"), reply);
   }
-  /// Up to the question for the values of three records.
+  /// Answers until the replica requests the values of three records.
   void offer_values(std::uint32_t group) {
     answer(group, "p:", true, 0, 0);
     answer(group, "a:", true, 0, 3);
@@ -472,7 +475,7 @@
 
 }  // namespace
 
-TEST_CASE("a page is not asked for again while its source sends what was asked before it") {
+TEST_CASE("a page is not requested again while its source sends pages requested earlier") {
   two_groups_of_a_pair pair;
   pair.offer_values(0);
   pair.fixture.environment.world.run_for(100ms);
@@ -482,18 +485,18 @@
   pair.answer(0, "a:", false, 0, 1);
   pair.fixture.environment.world.run_for(800ms);
   CHECK(pair.asked() == asked + 1);  // the next values of the first group
-  SECTION("one that was overtaken is lost") {
+  SECTION("a page overtaken by a later one counts as lost") {
     pair.answer(0, "a:", false, 1, 2);
     pair.fixture.environment.world.run_for(300ms);
     CHECK(pair.asked() == asked + 3);
   }
-  SECTION("so is one after which nothing comes") {
+  SECTION("a page after which nothing arrives counts as lost") {
     pair.fixture.environment.world.run_for(500ms);
     CHECK(pair.asked() == asked + 3);
   }
 }
 
-TEST_CASE("the second answer to a page that was asked for twice draws no further question") {
+TEST_CASE("the second answer to a page that was requested twice causes no further request") {
   two_groups_of_a_pair pair;
   pair.offer_values(0);
   pair.fixture.environment.world.run_for(1300ms);
@@ -507,7 +510,7 @@
   CHECK(pair.fixture.replica->holds(0, 2));
 }
 
-TEST_CASE("values that come late are kept, and not asked for again") {
+TEST_CASE("values that arrive late are kept, and not requested again") {
   two_groups_of_a_pair pair;
   pair.offer_values(0);
   pair.fixture.replica->catch_up();
@@ -518,12 +521,11 @@
   CHECK(pair.fixture.counters["ledger_copied_records_total"] == 3);
 }
 
-// Two nodes with a disk ended by themselves right after everything had been started anew: "vector::_M_range_check: __n
-// (which is 0)
-// >= this->size() (which is 0)". They were whole, and still copying from a member that had been emptied and was
-// leaving; then an epoch came in which that one was gone. The list of sources was kept, and the next page was asked of
-// a source that the new description did not have.
-TEST_CASE("a member that is still copying from one that leaves survives the epoch in which that one is gone") {
+// Guards against a crash right after a restart of all nodes: "vector::_M_range_check: __n (which is 0) >= this->size()
+// (which is 0)". Two nodes were whole, and still copying from a drained member that was leaving, when they adopted an
+// epoch without that member. They kept the list of sources and requested the next page from a source that the new
+// description did not contain.
+TEST_CASE("a member that is still copying from a leaving one adopts an epoch without that one") {
   ReplicaFixture fixture;
   fixture.replica->on_group_map(fixture.map(1));
   GroupMap with_leaver = fixture.map(2);
@@ -537,7 +539,7 @@
 
 namespace {
 
-/// Counts what is read of values.
+/// Counts the bytes of values that are read.
 class counting_storage : public simulation::SimStorage {
  public:
   using SimStorage::SimStorage;
@@ -559,7 +561,7 @@
 
 constexpr std::size_t kLargeValue = 200'000;
 constexpr std::size_t kLargeValues = 100;
-constexpr std::size_t kMostReadAtOnce = 5'000'000;  // 1 ms for each MB, on a tenth of a core 50 ms
+constexpr std::size_t kMostReadAtOnce = 5'000'000;  // bytes; 1 ms per MB, so 50 ms on a tenth of a core
 
 /// A replica that holds many large values.
 struct large_values {
@@ -592,12 +594,12 @@
 
 }  // namespace
 
-// After a restart of all nodes a group's members compare what they hold: each asks each other one for pages of 256
-// ballots. To tell them the whole values were read, with items of batch jobs 2 MB each, half a gigabyte a page, in one
-// turn of the node's loop. On a tenth of a core readers had no answer from any member meanwhile: 'replies 0 of 3', all
-// members silent, while the members spent 22 in 100 of their time in decoding and copying values that nobody had asked
-// for. A page now reads a few MB and goes on with the next one, so that a reader's question waits for one page at most.
-TEST_CASE("a page of ballots reads a bounded part of the values, and the next pages bring the rest") {
+// Guards against a blocked event loop. After a restart of all nodes a group's members compare their records: each one
+// requests pages of 256 ballots from each other one. To answer, the complete values were read in one iteration of the
+// loop: half a gigabyte per page with items of batch jobs of 2 MB each. On a tenth of a core no member answered readers
+// meanwhile ('replies 0 of 3'), while the members spent 22 % of their time decoding and copying values that nobody had
+// requested. A page now reads a few MB and the next one continues, so that a read request waits for at most one page.
+TEST_CASE("a page of ballots reads a bounded part of the values, and the next pages contain the rest") {
   large_values held;
   std::string after = "a:";
   std::size_t ballots = 0;
@@ -621,10 +623,10 @@
   CHECK(ballots == kLargeValues);
 }
 
-// The same work without bound stood in two more places: a question for the ballots of named records read all values, up
-// to 256 of them, though its answer is compared only up to where the one with the values ends; and a page of promises,
-// which is small, had the value beside each promise read by the replica that takes it.
-TEST_CASE("a question for the ballots of named records reads a bounded part of their values") {
+// Two more places read values without bound: a request for the ballots of named records read all of up to 256 values,
+// though its answer is compared only up to the end of the answer with the values; and the receiver of a page of
+// promises, which is small, read the value that belongs to each promise.
+TEST_CASE("a request for the ballots of named records reads a bounded part of their values") {
   large_values held;
   wire::ScanRequestT request;
   request.epoch = 1;
@@ -639,7 +641,7 @@
   CHECK(held.storage.read_bytes <= kMostReadAtOnce);
 }
 
-TEST_CASE("a page of promises is taken without a look at the values beside them") {
+TEST_CASE("a page of promises is applied without reading the values that belong to them") {
   large_values held;
   held.replica.catch_up();
   wire::CopyReplyT page;
@@ -667,7 +669,8 @@
   CHECK(held.environment.sent.back().body.AsPromise()->status == wire::ReplicaStatus::BallotTooLow);
 }
 
-// Power was lost between a mark and the records that it spoke of: logs of the database are kept one by one.
+// Guards against a power loss between the sync of a mark and that of the records that it covers: the database syncs its
+// logs separately.
 TEST_CASE("a replica votes once what it has copied is on its disk, not before") {
   ReplicaFixture fixture("disk-new");
   fixture.replica->on_group_map(fixture.map(2, "disk-new"));
@@ -687,7 +690,7 @@
 
 namespace {
 
-/// A disk that cannot be read for a while.
+/// A disk whose reads can be made to fail.
 class unreadable_storage : public simulation::SimStorage {
  public:
   using SimStorage::SimStorage;
@@ -710,7 +713,7 @@
     process.start();
     replica = make();
     replica->on_group_map(map);
-    environment.world.run_for(20ms);  // the state of the group is on the disk
+    environment.world.run_for(20ms);  // waits until the state of the group is on the disk
     replica->handle(kCaller, accept());
     environment.world.run_for(20ms);
   }
@@ -737,9 +740,9 @@
 
 }  // namespace
 
-// By reading of the code: a disk whose state of a group could not be read at a start took the founding description for
-// its first one, and voted as a founding member that holds nothing, whatever it had promised and confirmed.
-TEST_CASE("a disk that cannot read what it knows of a group takes no part in it until it can") {
+// Guards against forgotten promises: a replica that could not read its state of a group at a start adopted the founding
+// description as its first one, and voted as a founding member without records, whatever it had promised and confirmed.
+TEST_CASE("a replica that cannot read its state of a group takes no part in it until it can") {
   unreadable_fixture fixture;
   fixture.replica = fixture.make();
   SECTION("none of its groups") { fixture.storage.fails_scans = true; }
@@ -760,8 +763,8 @@
   CHECK(fixture.replica->holds(0, 1));
 }
 
-// By reading of the code: what came before the place that could not be read was answered as if it were everything.
-TEST_CASE("a scan of a disk that cannot be read on is refused, not answered in part") {
+// Guards against incomplete answers: the records before an unreadable place were returned as if they were all.
+TEST_CASE("a scan of a disk that fails to read is refused, not answered in part") {
   unreadable_fixture fixture;
   fixture.storage.fails_scans = true;
   fixture.environment.sent.clear();
--- a/tests/ledger/scan_test.cpp
+++ b/tests/ledger/scan_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr unsigned kReplicas = 3;
 
-/// A client of a group of three replicas that the test answers for. Replica 1 is the nearest.
+/// A client of a group of three replicas; the test sends their answers. Replica 1 is the nearest.
 struct ScanFixture {
   ScanFixture() { client.on_group_map(map()); }
 
@@ -49,7 +49,7 @@
     message.records.push_back(std::move(record));
     client.handle(PeerAddress("x"), message);
   }
-  /// @return how many replicas the last requests ask for values.
+  /// @return the number of replicas whose last request asks for values.
   unsigned asked_for_values() {
     unsigned asked = 0;
     for (unsigned index = 0; index < kReplicas; ++index) {
@@ -85,7 +85,7 @@
   CHECK(value_of(*fixture.answer).records.front().value == wire::Bytes{7});
 }
 
-TEST_CASE("a value that the ballots of the others do not bear out is settled by a read") {
+TEST_CASE("a value that the ballots of the others do not confirm is settled by a read") {
   ScanFixture fixture;
   fixture.start();
   SECTION("the nearest replica has an older one") {
@@ -101,7 +101,7 @@
   CHECK(fixture.counters["ledger_scan_settles_total"] == 1);
 }
 
-TEST_CASE("when the nearest replica is silent, the next one is asked for values and stays the choice for a while") {
+TEST_CASE("when the nearest replica is unresponsive, the next one is asked for values and stays selected for a while") {
   ScanFixture fixture;
   fixture.start();
   fixture.reply(0, {3, 1}, {7});
@@ -122,7 +122,7 @@
   CHECK_FALSE(fixture.request_to(1).ballots_only);
 }
 
-TEST_CASE("a scan of keys asks nobody for values") {
+TEST_CASE("a scan of keys asks no replica for values") {
   ScanFixture fixture;
   fixture.start(ScanContent::keys);
   CHECK(fixture.asked_for_values() == 0);
@@ -132,7 +132,7 @@
   CHECK(value_of(*fixture.answer).records.front().key == "k/1");
 }
 
-TEST_CASE("what has come to a question stays when it is asked again: only those that are silent are asked") {
+TEST_CASE("a repeated request keeps the replies received so far: only unresponsive replicas are asked again") {
   ScanFixture fixture;
   fixture.start();
   fixture.reply(0, {1, 1}, {7});
@@ -150,7 +150,7 @@
 
 namespace {
 
-/// Answers a fetch of "k/1" and "k/2" for replica @p index; the source's answer holds as many as @p values.
+/// Answers a fetch of "k/1" and "k/2" for replica @p index; an answer with values holds the first @p values records.
 void answer_fetch(ScanFixture& fixture, unsigned index, std::size_t values, Ballot second) {
   const wire::ScanRequestT request = fixture.request_to(index);
   REQUIRE(request.keys == std::vector<std::string>{"k/2", "k/1"});
@@ -171,20 +171,20 @@
 
 }  // namespace
 
-TEST_CASE("a fetch asks each replica once, in the order of its keys, and says what it did not reach") {
+TEST_CASE("a fetch asks each replica once, in the order of its keys, and reports where it stopped") {
   ScanFixture fixture;
   fixture.client.fetch({"k/2", "k/1"}, 100, 1s,
                        [&fixture](Result<ScanPage> result) { fixture.answer = std::move(result); });
   CHECK(fixture.environment.sent_of(wire::Message::ScanRequest) == kReplicas);
   CHECK(fixture.asked_for_values() == 1);
-  SECTION("all came") {
+  SECTION("all values arrive") {
     answer_fetch(fixture, 0, 2, {1, 1});
     answer_fetch(fixture, 1, 2, {1, 1});
     REQUIRE(fixture.answer);
     CHECK(value_of(*fixture.answer).records.size() == 2);
     CHECK(value_of(*fixture.answer).next_after.empty());
   }
-  SECTION("the values of the first only") {
+  SECTION("only the first value arrives") {
     answer_fetch(fixture, 0, 1, {1, 1});
     answer_fetch(fixture, 1, 1, {1, 1});
     REQUIRE(fixture.answer);
@@ -192,24 +192,24 @@
     CHECK(value_of(*fixture.answer).records.front().key == "k/2");
     CHECK(value_of(*fixture.answer).next_after == "k/1");
   }
-  SECTION("one that nobody holds is left out") {
+  SECTION("a record that no replica holds is left out") {
     answer_fetch(fixture, 0, 2, {});
     answer_fetch(fixture, 1, 2, {});
     REQUIRE(fixture.answer);
     CHECK(value_of(*fixture.answer).records.size() == 1);
   }
-  SECTION("nobody answers in time") {
+  SECTION("no replica answers before the deadline") {
     fixture.environment.world.run_for(1100ms);
     REQUIRE(fixture.answer);
     CHECK(error_of(*fixture.answer).kind == ErrorKind::unavailable);
   }
 }
 
-// Gateways that had just been started answered 404 for jobs that had been accepted before: 12 times in one run with
-// real processes, of 75 jobs. A reading that begins before the node knows the replica groups waits for them; but the
-// group that it would ask had been worked out at its beginning, while there were none, as the first one. Once the
-// groups were known the first group was asked, truly had no such record, and said so. Settled by the time of these
-// calls, 0.8 s after their gateway's start, when it knew its routes already, and by the group that its questions name.
+// Guards against a 404 for an accepted job: just started gateways answered 12 requests so in one run with real
+// processes and 75 jobs. A read that begins before the node knows the replica groups waits for them, but its group was
+// computed at its beginning, while there were no groups, as the first one. Once the groups were known, the request went
+// to the first group, which has no such record. These requests came 0.8 s after their gateway's start, when it already
+// knew its routes.
 TEST_CASE("a scan that begins before the groups are known asks the group of its key") {
   TestEnvironment environment;
   Counters counters;
@@ -234,9 +234,9 @@
 namespace {
 
 constexpr Duration kLate = 300ms;
-constexpr std::size_t kShownOfLine = 150;  ///< Characters that are left of a line that was cut.
+constexpr std::size_t kShownOfLine = 150;  ///< Characters that remain of a truncated log line.
 
-/// A client of three members with long names; those that have an answer refuse each scan with it.
+/// A client of three members with long names; members with an entry in @c refusals answer each scan with it.
 struct refusing_group {
   refusing_group() {
     GroupMap map;
@@ -291,14 +291,14 @@
   Counters counters;
   Client client{environment, counters, [](const NodeId& node) { return std::optional(PeerAddress(node.str())); }};
   std::map<PeerAddress, wire::ScanReplyT> refusals;
-  std::set<PeerAddress> late;  ///< Their refusals come after that of all others.
+  std::set<PeerAddress> late;  ///< Members whose refusals arrive after those of all others.
 };
 
 }  // namespace
 
-// Readings failed for twelve seconds at every gateway, and of each line the part that said what the members had
-// answered was cut off.
-TEST_CASE("a failed scan tells each member's answer first and shortly") {
+// Guards against truncated log lines: reads failed for 12 s at every gateway, and each line was cut before the members'
+// answers.
+TEST_CASE("a failed scan reports each member's answer first and briefly") {
   refusing_group group;
   group.refuse("storage-hall-b-1", wire::ReplicaStatus::NotReady, wire::ReplicaStanding::Copying, 5);
   group.refusals[PeerAddress("storage-hall-b-1")].copied_bytes = 3'160'000;
@@ -313,8 +313,8 @@
   CHECK(detail.find(", refusals storage-hall-b-1 NotReady ") != std::string::npos);
 }
 
-// A group of two, one of which refused at once: each attempt was over before the other one's refusal came, and lines
-// said that it was silent.
+// Guards against a member wrongly logged as silent: in a group of two, one member refused at once, so that each attempt
+// ended before the other one's refusal arrived.
 TEST_CASE("a member whose refusal comes after its attempt is over is not called silent") {
   refusing_group group;
   group.refuse("storage-hall-a-1", wire::ReplicaStatus::UnknownEpoch, wire::ReplicaStanding::UnknownEpoch, 0);
@@ -328,10 +328,10 @@
   const std::string detail = group.scan();
   CHECK(detail.find("storage-hall-c-1 NotReady copied 0 KB in 0 s;") != std::string::npos);
   CHECK(told.size() == 3);
-  group.environment.world.run_for(1s);  // answers that come after the end find nothing
+  group.environment.world.run_for(1s);  // answers after the end are ignored
 }
 
-TEST_CASE("a failed scan says so where a member of an earlier version does not tell why it refuses") {
+TEST_CASE("a failed scan reports where a member of an earlier version gives no refusal reason") {
   refusing_group group;
   group.refuse("storage-hall-b-1", wire::ReplicaStatus::NotReady, wire::ReplicaStanding::NotSaid, 0);
   group.refuse("storage-hall-c-1", wire::ReplicaStatus::UnknownEpoch, wire::ReplicaStanding::UnknownEpoch, 0);
@@ -340,7 +340,7 @@
         std::string::npos);
 }
 
-TEST_CASE("members that grant a request are told, also of those whose majority came later") {
+TEST_CASE("each member that grants a request is reported, also before the majority is complete") {
   ScanFixture fixture;
   std::vector<std::uint64_t> epochs;
   fixture.client.on_granted = [&epochs](const PeerAddress&, std::uint32_t group, std::uint64_t epoch) {
