--- a/tests/ledger/decision_votes_test.cpp
+++ b/tests/ledger/decision_votes_test.cpp
@@ -1,4 +1,4 @@
-/// Who granted a group's next epoch, who refused it, and on what ground.
+/// The votes on a group's next epoch: which members granted it, which refused it, and the refusal reasons.
 #include <catch2/catch.hpp>
 
 #include "ledger/client.hpp"
@@ -25,7 +25,7 @@
   bool whole = true;
 };
 
-/// What a proposer of the next epoch was told.
+/// The votes and the result that a proposer of the next epoch received.
 struct told {
   std::optional<decision_votes> votes;
   std::optional<Result<ReplicaGroup>> result;
@@ -35,7 +35,7 @@
   }
 };
 
-/// @return what is told of a decision where the members answer so; who is not named stays silent.
+/// @return the report on a decision where members answer as in @p answers; members not in it do not answer.
 told decide(const std::map<std::string, member_answer>& answers, const EpochRule& rule = {}) {
   const std::vector<ReplicaIdentity> members{kA, kB, kC};
   TestEnvironment environment;
@@ -86,13 +86,14 @@
 
 }  // namespace
 
-TEST_CASE("the ground of a refused epoch is the one of most members that refused it") {
+TEST_CASE("the refusal reason of an epoch is that of most members that refused it") {
   constexpr auto kNone = refusal_ground::none;
   constexpr auto kSilent = refusal_ground::silent;
   constexpr auto kCopies = refusal_ground::not_admitted;
   CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kCopies)) == kCopies);
   CHECK(ground_of(kUnavailable, votes_of(kSilent, kCopies, kCopies)) == kCopies);
-  CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kSilent)) == kSilent);  // as many: the first in order
+  CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kSilent)) ==
+        kSilent);  // a tie: the first in the order of reasons
   CHECK(ground_of(kUnavailable, votes_of(kNone, kNone, kSilent)) == refusal_ground::not_whole);
   CHECK(ground_of(kUnavailable, {}) == refusal_ground::other);
   const Error conflict{ErrorKind::conflict, ""};
@@ -102,7 +103,7 @@
         refusal_ground::given_up_answers);
 }
 
-TEST_CASE("the answer of a member that does not count is told and is no ground") {
+TEST_CASE("the answer of a member that does not count is reported but is no refusal reason") {
   decision_votes votes = votes_of(refusal_ground::none, refusal_ground::silent, refusal_ground::silent);
   votes.needed = 1;
   votes.members[0].counts = false;
@@ -113,7 +114,7 @@
   CHECK(votes.refused_text() == "b/disk-b silent (does not count), c/disk-c not_admitted");
 }
 
-TEST_CASE("each ground has a name of its own") {
+TEST_CASE("each refusal reason has a unique name") {
   std::set<std::string> names;
   for (const refusal_ground ground : kRefusalGrounds) {
     names.insert(name_of(ground));
@@ -121,7 +122,7 @@
   CHECK(names.size() == kRefusalGrounds.size());
 }
 
-TEST_CASE("a proposer is told once who granted a decided epoch and who did not") {
+TEST_CASE("a proposer receives one report of the members that granted a decided epoch and those that did not") {
   const told told = decide({{"a", {}}, {"b", {}}});
   CHECK(told.calls == 1);
   CHECK(succeeded(*told.result));
@@ -130,7 +131,7 @@
   CHECK(told.votes->refused_text() == "c/disk-c silent");
 }
 
-TEST_CASE("a proposer is told who refused an epoch and on what ground") {
+TEST_CASE("a proposer receives the members that refused an epoch and their reasons") {
   const told copies =
       decide({{"a", {}}, {"b", {wire::ReplicaStatus::NotReady}}, {"c", {wire::ReplicaStatus::NotReady}}});
   CHECK(copies.calls == 1);
@@ -149,7 +150,7 @@
   CHECK(error_of(*lacking.result).detail.find("those that granted may lack confirmed records") != std::string::npos);
 }
 
-TEST_CASE("a proposer is told that the member to be given up has answered") {
+TEST_CASE("a proposer receives a report that the member to be given up has answered") {
   EpochRule rule;
   rule.given_up = kC;
   const told told = decide({{"c", {}}}, rule);
--- a/tests/ledger/gone_disks_test.cpp
+++ b/tests/ledger/gone_disks_test.cpp
@@ -1,4 +1,4 @@
-/// Which disks that a group names are gone for good, as far as a node can know it.
+/// Detection of the disks of a group that are permanently gone, as far as a node can know it.
 #include <catch2/catch.hpp>
 
 #include "ledger/gone_disks.hpp"
@@ -51,20 +51,20 @@
 
 }  // namespace
 
-TEST_CASE("a disk is gone for good once its node runs with another one, or a later epoch named it so") {
+TEST_CASE("a disk is permanently gone once its node runs with another one, or a later epoch replaced it") {
   fixture fleet;
   fleet.run_for(1s);
   CHECK(fleet.text().empty());
   fleet.b().disk_id = "disk-b2";
   CHECK(fleet.text() == "b/disk-b disk_replaced");
   CHECK(fleet.gone.named_by(kGroup).front().why == "its node runs with disk-b2");
-  fleet.b().disk_id = "";  // it does not say
+  fleet.b().disk_id = "";  // the node does not report its disk
   CHECK(fleet.text().empty());
-  fleet.obsolete = kC;  // of a disk that leaves
+  fleet.obsolete = kC;  // the leaving member
   CHECK(fleet.text() == "c/disk-c disk_replaced");
 }
 
-TEST_CASE("a disk is gone for good once its node was dead for longer than the policy's time") {
+TEST_CASE("a disk is permanently gone once its node has been dead for longer than the policy's time") {
   fixture fleet;
   fleet.b().state = wire::MemberState::Dead;
   fleet.run_for(kPatience);
@@ -75,12 +75,12 @@
   fleet.b().state = wire::MemberState::Suspect;
   CHECK(fleet.text().empty());
   fleet.run_for(1s);
-  fleet.b().state = wire::MemberState::Dead;  // counted anew
+  fleet.b().state = wire::MemberState::Dead;  // the time starts again
   fleet.run_for(kPatience);
   CHECK(fleet.text().empty());
 }
 
-TEST_CASE("a disk is gone for good once there was no word of its node for longer than the policy's time") {
+TEST_CASE("a disk is permanently gone once its node has been unknown for longer than the policy's time") {
   fixture fleet;
   fleet.members.erase(kC.node);
   fleet.run_for(kPatience);
@@ -89,7 +89,7 @@
   CHECK(fleet.text() == "c/disk-c unknown_for_long");
 }
 
-TEST_CASE("a disk is gone for good once its node was emptied and has gone or is about to") {
+TEST_CASE("a disk is permanently gone once its node is drained and has left or is about to") {
   fixture fleet;
   fleet.emptied[kB.node] = true;
   fleet.b().retiring = true;
@@ -98,11 +98,11 @@
   CHECK(fleet.text() == "b/disk-b emptied");
   fleet.members.erase(kB.node);
   CHECK(fleet.text() == "b/disk-b emptied");
-  fleet.members[kB.node].disk_id = kB.disk.str();  // a machine of that name that nobody wants emptied
+  fleet.members[kB.node].disk_id = kB.disk.str();  // another machine of that name, which is not to be drained
   CHECK(fleet.text().empty());
 }
 
-TEST_CASE("a disk that died while it was emptied is gone for good only where nobody can say that it was not done") {
+TEST_CASE("a disk whose node died while draining is permanently gone unless its draining is known to be incomplete") {
   fixture fleet;
   fleet.b().retiring = true;
   CHECK(fleet.text().empty());
@@ -116,7 +116,7 @@
   CHECK(fleet.text() == "b/disk-b dead_for_long");
 }
 
-TEST_CASE("without the policy's time no disk is gone for good by silence") {
+TEST_CASE("without the policy's time no disk counts as permanently gone because its node is unresponsive") {
   fixture fleet;
   fleet.gone.known().patience = nullptr;
   fleet.gone.known().is_emptied = nullptr;
--- a/tests/ledger/hanging_disk_test.cpp
+++ b/tests/ledger/hanging_disk_test.cpp
@@ -1,4 +1,4 @@
-/// What goes on while the disk answers nothing, and that all is as before when it answers again.
+/// Calls to the disk that hang: reads and writes continue as far as possible, and everything is confirmed afterwards.
 #include <catch2/catch.hpp>
 
 #include <boost/asio/io_context.hpp>
@@ -24,7 +24,7 @@
 constexpr auto kStuck = 30s;
 constexpr auto kShort = 200ms;
 
-/// A database whose owner is this test, and whose syncs run on a thread of their own, as in a node.
+/// A database that this test owns; its syncs run on a separate thread, as in a node.
 class owned_database {
  public:
   owned_database() {
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-TEST_CASE("while a sync of the disk hangs its owner reads and writes on, and is told once it has ended") {
+TEST_CASE("while a sync of the disk hangs its owner continues to read and write, and is notified when the sync ends") {
   owned_database database;
   database.calls().hold(held_call::sync);
   database.write(1);
@@ -101,7 +101,7 @@
   CHECK(database.failed() == 0);
 }
 
-TEST_CASE("a write that the disk holds up is there and confirmed once the disk answers") {
+TEST_CASE("a write that the disk delays is stored and confirmed once the disk answers") {
   owned_database database;
   database.calls().hold(held_call::write);
   const auto released = std::async(std::launch::async, [&database] {
@@ -111,7 +111,7 @@
   });
   const auto began = std::chrono::steady_clock::now();
   database.write(1);
-  // The owner waits for as long as the disk does.
+  // The write blocks the owner until the disk answers.
   CHECK(std::chrono::steady_clock::now() - began >= kShort);
   database.run_until_confirmed(1, kStuck);
   CHECK(database.confirmed() == 1);
--- a/tests/ledger/rocksdb_disk_test.cpp
+++ b/tests/ledger/rocksdb_disk_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kFirstRandom = 1;
 constexpr std::uint64_t kLaterRandom = 2;
 
-/// A folder that was served before, with one record.
+/// A folder that was used as a disk before, with one record.
 struct UsedDisk : TemporaryDisk {
   UsedDisk() {
     OpenedDisk disk = open(kFirstRandom);
@@ -103,7 +103,7 @@
   CHECK(again.reason == NewIdentityReason::none);
 }
 
-TEST_CASE("a lost identity file is made again from the records") {
+TEST_CASE("a lost identity file is restored from the records") {
   UsedDisk folder;
   std::filesystem::remove(folder.path() / "disk_id");
   {
@@ -125,11 +125,11 @@
       CHECK(disk.reason == NewIdentityReason::none);
       CHECK(holds_record(disk));
     }
-    // From now on the identity stands within the records, too.
+    // The first opening also stored the identity in the records.
     std::filesystem::remove(folder.path() / "disk_id");
     CHECK(folder.open(kLaterRandom).identity == "disk-00000000000000aa");
   }
-  SECTION("its file has gone, and nothing else tells whose records these are") {
+  SECTION("its file is missing, and nothing else identifies the disk of the records") {
     std::filesystem::remove(folder.path() / "disk_id");
     const OpenedDisk disk = folder.open(kLaterRandom);
     CHECK(disk.reason == NewIdentityReason::records_without_identity);
@@ -137,7 +137,7 @@
   }
 }
 
-TEST_CASE("a start that ended before its identity was in the file does not move an empty database aside") {
+TEST_CASE("after a start that ended before the identity file was written, the empty database is not moved aside") {
   UsedDisk folder;
   std::filesystem::remove_all(folder.path() / kRecordsFolder);
   { const OpenedDisk interrupted = folder.open(kLaterRandom); }
--- a/tests/ledger/rocksdb_power_loss_test.cpp
+++ b/tests/ledger/rocksdb_power_loss_test.cpp
@@ -1,5 +1,5 @@
-/// What a loss of power leaves of a log: all that was synced; of each write after that everything, nothing or a part,
-/// whatever became of the writes around it.
+/// A power loss leaves in a log all that was synced, and all, nothing or a part of each later write, independent of the
+/// writes around it.
 #include <catch2/catch.hpp>
 
 #include <rocksdb/env.h>
@@ -24,8 +24,9 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kLogBlockBytes = 32 << 10;  ///< RocksDB begins no record's head in a block's last bytes.
-constexpr std::size_t kLogHeadBytes = 7;          ///< Checksum, length and type.
+constexpr std::size_t kLogBlockBytes =
+    32 << 10;  ///< RocksDB starts no record in the last bytes of a block that are too few for a header.
+constexpr std::size_t kLogHeadBytes = 7;  ///< Checksum, length and type.
 constexpr std::size_t kLengthOffset = 4;
 constexpr std::size_t kSmallBytes = 100;
 constexpr std::size_t kLargeBytes = 40'000;  ///< More than a block.
@@ -33,7 +34,7 @@
 constexpr unsigned kUnsyncedRecords = 24;
 constexpr unsigned kLargeEvery = 8;
 
-/// A stretch of the log.
+/// A byte range of the log.
 struct Stretch {
   std::size_t begin = 0;
   std::size_t end = 0;
@@ -44,7 +45,7 @@
   return "a/0000/" + std::string(4 - digits.size(), '0') + digits;
 }
 
-/// What is put together with a record.
+/// @return the key of the entry that is written together with a record.
 std::string pair_of(unsigned number) { return "b" + key_of(number); }
 
 wire::Bytes value_of_record(unsigned number) {
@@ -63,7 +64,7 @@
   REQUIRE(file.flush().good());
 }
 
-/// @return the log that is written last in @p folder.
+/// @return the newest log in @p folder.
 fs::path newest_log(const fs::path& folder) {
   fs::path newest;
   for (const auto& entry : fs::directory_iterator(folder / kRecordsFolder)) {
@@ -95,7 +96,7 @@
   return found;
 }
 
-/// A disk that was written to and is copied as it stands, some of its log synced.
+/// A copy of a disk that was written to, with a log that is only partly synced.
 class WrittenDisk {
  public:
   WrittenDisk() {
@@ -115,7 +116,7 @@
   std::vector<Stretch> unsynced() const { return records_of_log(log_, synced_bytes_); }
 
   /// Opens the disk with @p log in place of its log.
-  /// @return which records are there.
+  /// @return for each record whether it is present.
   std::vector<bool> open_with(const std::string& log) const {
     const TemporaryDisk disk;
     fs::copy(copy_.path(), disk.path(), fs::copy_options::recursive | fs::copy_options::overwrite_existing);
@@ -207,7 +208,7 @@
   }
 }
 
-TEST_CASE("files whose removal was lost with the power change nothing") {
+TEST_CASE("files that reappear because a power loss undid their removal change nothing") {
   const TemporaryDisk disk;
   std::string identity;
   std::vector<std::pair<fs::path, std::string>> removed;
@@ -237,7 +238,7 @@
   CHECK(value_of(value) == wire::Bytes{2});
 }
 
-TEST_CASE("a disk opens without the files that its database made and did not sync the folder for") {
+TEST_CASE("a disk opens without the files whose creation was not synced to the folder") {
   const TemporaryDisk disk;
   std::string identity;
   {
@@ -263,7 +264,7 @@
 
 namespace {
 
-/// A file system on which tables of the database are made late.
+/// A file system that delays the creation of the database's tables until release().
 class HeldTables : public rocksdb::EnvWrapper {
  public:
   HeldTables() : EnvWrapper(rocksdb::Env::Default()) {}
@@ -302,11 +303,11 @@
   return logs;
 }
 
-/// A disk that was written to until the database began another log; some of the first one is synced.
+/// A disk that was written to until the database started a second log; the first one is partly synced.
 class DiskOfTwoLogs {
  public:
   static constexpr unsigned kRecords = 200;
-  static constexpr std::size_t kRecordBytes = 100'000;  ///< Together more than the database keeps in one log.
+  static constexpr std::size_t kRecordBytes = 100'000;  ///< All records together exceed the size of one log.
 
   DiskOfTwoLogs() {
     identity_ = original_.open(1).identity;
@@ -329,7 +330,7 @@
     first_ = read_file(first_log_);
   }
 
-  /// @return where the records of the first log end that are not synced; a record has several stretches.
+  /// @return the ends of the unsynced records of the first log; a record consists of several byte ranges.
   std::vector<std::size_t> borders() const {
     std::vector<std::size_t> ends;
     for (const Stretch& stretch : records_of_log(first_, kSyncedRecords * kRecordBytes)) {
@@ -342,7 +343,7 @@
   }
 
   /// Opens the disk with the first @p size bytes of its first log.
-  /// @return which records are there.
+  /// @return for each record whether it is present.
   std::vector<bool> open_with(std::size_t size) const {
     INFO("cut to " << size << " of " << first_.size());
     const TemporaryDisk disk;
@@ -375,7 +376,7 @@
 
 }  // namespace
 
-TEST_CASE("a log that is torn while the next one is whole opens with nothing later than what it lost") {
+TEST_CASE("a torn log before a complete one opens with nothing later than what it lost") {
   const DiskOfTwoLogs disk;
   const std::vector<std::size_t> borders = disk.borders();
   REQUIRE(borders.size() > 2);
@@ -385,9 +386,9 @@
   }
 }
 
-// A log that ends between two records looks whole, so the database goes on with the next log. That is why nothing may
-// rely on the order of writes that are not synced.
-TEST_CASE("a log that lost its last writes whole opens with all that was synced, and entries put together") {
+// A log that ends between two records looks complete, so the database continues with the next log. Therefore no code
+// may rely on the order of unsynced writes.
+TEST_CASE("a log that lost complete last writes opens with all that was synced, and keeps joint entries together") {
   const DiskOfTwoLogs disk;
   const std::vector<std::size_t> borders = disk.borders();
   REQUIRE(borders.size() > 2);
--- a/tests/ledger/rocksdb_power_schedules_test.cpp
+++ b/tests/ledger/rocksdb_power_schedules_test.cpp
@@ -1,6 +1,6 @@
-/// A node whose database could not be opened after losses of power would end at each start, for good: schedules of
-/// writes, syncs, tables and losses of power at any change of a file, each loss keeping any part of what was not
-/// synced.
+/// Guards against a database that cannot be opened after power losses, which makes its node fail at each start. Runs
+/// random schedules of writes, syncs, table changes and power losses at any change of a file; each loss keeps a random
+/// part of the unsynced data.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 
 constexpr char kFolder[] = "/disk";
 constexpr char kIdentityKey[] = "disk/identity";
-constexpr std::size_t kSmallBuffer = 64 << 10;  ///< So that tables are written and merged within a schedule.
+constexpr std::size_t kSmallBuffer = 64 << 10;  ///< Small enough that tables are written and merged within a schedule.
 constexpr unsigned kKeys = 40;
 constexpr unsigned kMostSteps = 150;
 constexpr unsigned kMostChanges = 400;
@@ -34,7 +34,7 @@
 constexpr std::size_t kMostValueBytes = 6000;
 constexpr std::uint64_t kSchedulesInCi = 60;
 
-/// One disk through several losses of power.
+/// The life of one disk through several power losses.
 class schedule {
  public:
   explicit schedule(std::uint64_t seed) : seed_(seed), random_(seed) {
@@ -51,14 +51,14 @@
 
  private:
   struct Versions {
-    std::uint64_t put = 0;        ///< The last one, which a loss may have taken away.
-    std::uint64_t there = 0;      ///< In the database that is open.
-    std::uint64_t confirmed = 0;  ///< Whatever is lost.
+    std::uint64_t put = 0;        ///< The last version written; a power loss may have removed it.
+    std::uint64_t there = 0;      ///< The version in the open database.
+    std::uint64_t confirmed = 0;  ///< The last synced version, which survives every power loss.
   };
 
   std::uint64_t draw(std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(0, most)(random_); }
   static std::string key_of(unsigned number) { return "a/" + std::to_string(number); }
-  /// What is put together with a record.
+  /// @return the key of the entry that is written together with a record.
   static std::string pair_of(unsigned number) { return "b/" + std::to_string(number); }
 
   void live_until_loss() {
@@ -104,7 +104,7 @@
     return version;
   }
 
-  /// What is read after an opening survives whatever comes.
+  /// Checks the records of a just opened database; what is read then survives later power losses.
   void check_records(const RocksDbStorage& storage, const lossy_files& files) {
     std::array<std::uint64_t, kKeys> found{};
     for (unsigned number = 0; number < kKeys; ++number) {
@@ -156,7 +156,7 @@
   std::array<Versions, kKeys> records_{};
 };
 
-/// A disk with its folder alone.
+/// @return a disk with an empty folder.
 lossy_names empty_disk() {
   auto folder = std::make_shared<lossy_file>();
   folder->is_folder = true;
@@ -165,8 +165,8 @@
 
 std::string record_of_run(unsigned number) { return "a/" + std::to_string(number); }
 
-/// Makes a database, fills more than a table with records, each of which is confirmed, and closes it.
-/// @return how many were confirmed before power was lost.
+/// Creates a database, writes and syncs more records than one table holds, and closes it.
+/// @return the number of records that were synced before the power loss.
 unsigned confirm_records(lossy_files& files) {
   constexpr unsigned kRecords = 30;
   const auto opened = RocksDbStorage::open(kFolder, tests::inline_executors(), &files, kSmallBuffer);
@@ -180,7 +180,7 @@
   return confirmed;
 }
 
-/// @return what is wrong with a disk that has to hold @p confirmed records; empty: nothing.
+/// @return the fault of a disk that must hold the first @p confirmed records; empty if there is none.
 std::string fault_of(const lossy_names& left, unsigned confirmed) {
   lossy_files files(left, 0);
   const auto opened = RocksDbStorage::open(kFolder, tests::inline_executors(), &files, kSmallBuffer);
@@ -190,7 +190,7 @@
   for (unsigned number = 0; number < confirmed; ++number) {
     const auto found = value_of(opened)->get(record_of_run(number));
     if (!succeeded(found) || !value_of(found)) {
-      return "record " + std::to_string(number) + " of " + std::to_string(confirmed) + " is not there";
+      return "record " + std::to_string(number) + " of " + std::to_string(confirmed) + " is missing";
     }
   }
   return "";
@@ -203,7 +203,7 @@
 
 }  // namespace
 
-TEST_CASE("a disk opens with all that was confirmed after any losses of power") {
+TEST_CASE("a disk opens with every confirmed record after any power losses") {
   const std::uint64_t first = from_environment("MADDERDECK_TEST_SEED", 1);
   const std::uint64_t count = from_environment("MADDERDECK_TEST_SCHEDULES", kSchedulesInCi);
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
@@ -211,9 +211,9 @@
   }
 }
 
-// Ended nodes for good: "checksum mismatch in file MANIFEST" at each start, after a loss of power in the moment between
-// the write of a change of tables and its sync.
-TEST_CASE("a disk opens after a loss of power that tears what its database was writing, whatever that was") {
+// Guards against nodes that fail at each start with "checksum mismatch in file MANIFEST" after a power loss between the
+// write of a table change and its sync.
+TEST_CASE("a disk opens after a power loss that tears any write of its database") {
   constexpr std::size_t kMostChangesOfRun = 150;
   constexpr unsigned kTearings = 4;
   std::vector<std::string> faults;
@@ -234,8 +234,8 @@
   CHECK(faults.empty());
 }
 
-TEST_CASE("a database that changes its tables often keeps few of its descriptions of them") {
-  constexpr std::size_t kMostManifests = 3;  ///< The present one, and what is not removed yet.
+TEST_CASE("a database that changes its tables often keeps few manifests") {
+  constexpr std::size_t kMostManifests = 3;  ///< The current one and those not removed yet.
   lossy_files files(empty_disk(), 0);
   confirm_records(files);
   std::vector<std::string> names;
--- a/tests/ledger/rocksdb_storage_test.cpp
+++ b/tests/ledger/rocksdb_storage_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Keeps what storage runs in the background until it is told to run it.
+/// Queues the storage's background tasks until the test runs them.
 class HeldTasks {
  public:
   Executors executors() {
@@ -37,8 +37,8 @@
       task();
     }
   }
-  bool holds_owner = false;  ///< The owner's thread is busy: its tasks wait for run_owner().
-  /// Runs what was to run after a while, and what that runs in the background.
+  bool holds_owner = false;  ///< Whether the owner's tasks wait for run_owner(), as if its thread were busy.
+  /// Runs the delayed tasks and the background tasks that they start.
   void pass_time() {
     for (const auto& task : std::exchange(later_, {})) {
       task();
@@ -60,7 +60,7 @@
   std::vector<std::function<void()>> owner_;
 };
 
-/// A file system that refuses to write or sync while it is told to.
+/// A file system whose writes or syncs can be made to fail.
 class RefusingFiles : public rocksdb::EnvWrapper {
  public:
   RefusingFiles() : EnvWrapper(rocksdb::Env::Default()) {}
@@ -77,7 +77,7 @@
   }
   bool refuses_writes = false;
   bool refuses_syncs = false;
-  bool full = false;  ///< The refusal says that no space is left.
+  bool full = false;  ///< Whether calls fail with "no space" instead of an I/O error.
 
  private:
   class File : public rocksdb::WritableFileWrapper {
@@ -137,7 +137,7 @@
 
 }  // namespace
 
-TEST_CASE("storage knows whether a loss of power would take something away") {
+TEST_CASE("storage knows whether a power loss would remove anything") {
   StorageFixture fixture;
   CHECK_FALSE(fixture.storage->has_unflushed());
   fixture.storage->put("k", {1});
@@ -148,13 +148,13 @@
   fixture.flush();
   fixture.tasks.run_one();
   CHECK(fixture.flushed == 1);
-  CHECK(fixture.storage->has_unflushed());  // the second write came after that sync had begun
+  CHECK(fixture.storage->has_unflushed());  // the second write came after the start of that sync
   fixture.tasks.run_one();
   CHECK(fixture.flushed == 2);
   CHECK_FALSE(fixture.storage->has_unflushed());
 }
 
-TEST_CASE("readers that a sync under way covers share it") {
+TEST_CASE("readers that a queued sync covers share it") {
   constexpr unsigned kReaders = 100;
   StorageFixture fixture;
   fixture.storage->put("k", {1});
@@ -226,7 +226,7 @@
   CHECK(fixture.read("k") == wire::Bytes{3});
 }
 
-TEST_CASE("a write that is refused while a sync is under way fails all who wait") {
+TEST_CASE("a write that is refused during a sync fails all waiting flushes") {
   StorageFixture fixture;
   fixture.storage->put("k", {1});
   fixture.flush();
@@ -242,7 +242,7 @@
   CHECK(fixture.read("k") == wire::Bytes{1});
 }
 
-TEST_CASE("a write between a refused sync and word of it is not confirmed") {
+TEST_CASE("a write between a refused sync and the report of the refusal is not confirmed") {
   StorageFixture fixture;
   fixture.storage->put("k", {1});
   fixture.flush();
--- a/tests/ledger/write_test.cpp
+++ b/tests/ledger/write_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A client whose replicas stay silent.
+/// A client whose replicas do not answer by themselves.
 struct WriteFixture {
   WriteFixture() {
     client.on_group_map(
@@ -25,8 +25,9 @@
 
 }  // namespace
 
-TEST_CASE("a large value is given the time that its bytes take before it is sent again") {
-  // Day trouble-2 of qhs-amman-grown: jobs of 350 KB were sent again every 400 ms over 30 Mbit/s, and never arrived.
+TEST_CASE("a large value is retried only after the time that its transfer takes") {
+  // Guards against retries that prevent delivery: jobs of 350 KB were retried every 400 ms over 30 Mbit/s and never
+  // arrived.
   WriteFixture fixture;
   const wire::Bytes large(350 * 1024);
   fixture.client.write_exclusive("k/1", large, [](const Result<OptionalValue>&) {});
@@ -37,17 +38,17 @@
   CHECK(fixture.prepares() == 3);
 }
 
-TEST_CASE("a small value is sent again soon") {
+TEST_CASE("a small value is retried soon") {
   WriteFixture fixture;
   fixture.client.write_exclusive("k/1", wire::Bytes(100), [](const Result<OptionalValue>&) {});
   fixture.environment.world.run_for(450ms);
   CHECK(fixture.prepares() == 3);
 }
 
-// Results of items could not be written while the disks were slow: 45 at the same moment ended with 'unavailable' after
-// 4 s and their items were run again, on seed after seed, while readings of the same groups went well. An attempt that
-// had not been promised within 400 ms was given up and a new one began with a new ballot, whose promises were as late;
-// none of those that came counted any more.
+// Guards against changes that fail on slow disks: 45 writes of item results at once failed with 'unavailable' after 4
+// s, with many seeds, and their items were run again, while reads of the same groups succeeded. An attempt without a
+// majority of promises within 400 ms was replaced by one with a new ballot, whose promises were as late, and promises
+// for the earlier ballot no longer counted.
 TEST_CASE("a change succeeds on disks that take longer than the first attempt") {
   WriteFixture fixture;
   std::optional<Result<OptionalValue>> outcome;
@@ -82,7 +83,7 @@
   CHECK(succeeded(*outcome));
 }
 
-TEST_CASE("a change that no majority agrees to tells what each member said") {
+TEST_CASE("a change without a majority reports each member's answer") {
   WriteFixture fixture;
   std::string detail;
   fixture.client.change(
