--- a/tests/ledger/place_consents_test.cpp
+++ b/tests/ledger/place_consents_test.cpp
@@ -70,7 +70,7 @@
 
 // Guards against a maintainer with an outdated view that names a draining disk again: the disk is removed, and the loss
 // of another one leaves one member of three.
-TEST_CASE("a disk that is to be emptied takes no place, but where a group has no other disk") {
+TEST_CASE("a draining disk takes no place, except where a group has no other disk") {
   spare_disk disk;
   disk.hear_of(kDecided);
   disk.replica->begin_emptying();
@@ -80,7 +80,7 @@
 }
 
 // Others may still decide the epoch with the messages that its proposer sent before it became unreachable.
-TEST_CASE("a disk that has consented to a place is not emptied before it knows whether that epoch names it") {
+TEST_CASE("a disk that has consented to a place is not drained before it knows whether that epoch names it") {
   spare_disk disk;
   disk.hear_of(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
@@ -122,7 +122,7 @@
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
 }
 
-TEST_CASE("a node does not take a place for a disk that it had before") {
+TEST_CASE("a node does not consent to a place for its former disk") {
   spare_disk disk;
   disk.hear_of(kDecided);
   CHECK(disk.offer(kDecided + 1, false, kNewC) == PlaceConsent::OtherDisk);
@@ -140,7 +140,7 @@
   CHECK(disk.replica->open_places().empty());
 }
 
-TEST_CASE("a status that was asked for without a place says that none was offered") {
+TEST_CASE("a reply to a status request without a place reports that none was offered") {
   spare_disk disk;
   wire::CopyStatusRequestT request;
   disk.replica->handle(kProposer, request);
@@ -198,7 +198,7 @@
   CHECK(vote(2) == wire::ReplicaStatus::Granted);
 }
 
-TEST_CASE("a consent that cannot be read has the disk take no place and not be emptied") {
+TEST_CASE("a disk whose consent cannot be read takes no place and is not drained") {
   spare_disk disk;
   disk.storage.put("c/0000", wire::Bytes{1, 2});
   disk.start();
--- a/tests/ledger/sole_decision_test.cpp
+++ b/tests/ledger/sole_decision_test.cpp
@@ -72,7 +72,7 @@
   CHECK_FALSE(decided(fixture.outcome));
 }
 
-TEST_CASE("the member that was named the sole decider does") {
+TEST_CASE("the member that was named sole decider decides by itself") {
   pair_fixture fixture;
   fixture.decide({1, kA});
   REQUIRE(decided(fixture.outcome));
@@ -97,7 +97,7 @@
 // Guards against a decision that continues in a later epoch under the narrower quorum rule of the earlier one.
 TEST_CASE("a decision for an epoch that its group has passed is dropped, and asks no member of the later epoch") {
   pair_fixture fixture;
-  fixture.responder = 5;  // nobody answers
+  fixture.responder = 5;  // no member answers
   fixture.decide({1, kA});
   REQUIRE_FALSE(decided(fixture.outcome));
   fixture.outcome.reset();
@@ -116,7 +116,7 @@
 // a group of four has no majority without three. What it confirmed is on three members, so the two that are left hold
 // all of it together, but they were not allowed to decide an epoch with the new disks. It failed in four of fourteen
 // runs with real processes: 'group_changed' was logged with 'unavailable' without end, and no job could be read.
-TEST_CASE("of a group of four the two members that are left decide once the disk of another one is proven lost") {
+TEST_CASE("of a group of four the two remaining members decide once the disk of another one is proven lost") {
   constexpr std::size_t kMembers = 4;
   TestEnvironment environment;
   Counters counters;
@@ -240,7 +240,7 @@
   CHECK(decided(outcome_of({{1, kAdmitted, false}, {2, kAdmitted, false}}, {})));
 }
 
-TEST_CASE("a silent former member is given up once a majority holds everything without it") {
+TEST_CASE("an unresponsive former member is given up once a majority holds everything without it") {
   const EpochRule gives_up{0, std::nullopt, true};
   CHECK_FALSE(decided(outcome_of({{1, kAdmitted, false}, {2, kAdmitted, true}}, gives_up)));
   CHECK(decided(outcome_of({{1, kAdmitted, true}, {2, kAdmitted, true}}, gives_up)));
@@ -255,7 +255,7 @@
 
 // Guards against a member that votes for its own replacement: a member that had just returned completed the majority
 // that gave its place away, while a permanently gone machine stayed a member, and the new disk waited for it for good.
-TEST_CASE("a member that is to be given up ends the decision by its vote, and nobody else does") {
+TEST_CASE("only the vote of the member that is to be given up aborts the decision") {
   EpochRule rule;
   rule.given_up = ReplicaIdentity{NodeId("a"), DiskId("disk")};
   CHECK_FALSE(decided(outcome_of({{0, kAdmitted, true}, {1, kAdmitted, true}, {2, kAdmitted, true}}, rule)));
