--- a/tests/ledger/decision_votes_test.cpp
+++ b/tests/ledger/decision_votes_test.cpp
@@ -26,7 +26,7 @@
 };
 
 /// The votes and the result that a proposer of the next epoch received.
-struct told {
+struct decision_report {
   std::optional<decision_votes> votes;
   std::optional<Result<ReplicaGroup>> result;
   unsigned calls = 0;
@@ -36,22 +36,22 @@
 };
 
 /// @return the report on a decision where members answer as in @p answers; members not in it do not answer.
-told decide(const std::map<std::string, member_answer>& answers, const EpochRule& rule = {}) {
+decision_report decide(const std::map<std::string, member_answer>& answers, const EpochRule& rule = {}) {
   const std::vector<ReplicaIdentity> members{kA, kB, kC};
   TestEnvironment environment;
   Counters counters;
   Client client{environment, counters, [](const NodeId& node) { return std::optional(PeerAddress(node.str())); }};
   client.on_group_map({{ReplicaGroup{3, members, {}}}});
-  told told;
-  client.on_decision = [&told](std::uint32_t group, const decision_votes& votes) {
+  decision_report report;
+  client.on_decision = [&report](std::uint32_t group, const decision_votes& votes) {
     CHECK(group == 0);
-    CHECK_FALSE(told.result);
-    told.votes = votes;
-    ++told.calls;
+    CHECK_FALSE(report.result);
+    report.votes = votes;
+    ++report.calls;
   };
   client.decide_next(0, {4, {kA, kB}, {kC}}, rule,
-                     [&told](const Result<ReplicaGroup>& result) { told.result = result; });
-  for (int step = 0; step < 60 && !told.result; ++step) {
+                     [&report](const Result<ReplicaGroup>& result) { report.result = result; });
+  for (int step = 0; step < 60 && !report.result; ++step) {
     for (const auto& message : std::exchange(environment.sent, {})) {
       const auto answer = answers.find(message.to.str());
       if (answer == answers.end()) {
@@ -80,8 +80,8 @@
     }
     environment.world.run_for(100ms);
   }
-  REQUIRE(told.result);
-  return told;
+  REQUIRE(report.result);
+  return report;
 }
 
 }  // namespace
@@ -123,27 +123,27 @@
 }
 
 TEST_CASE("a proposer receives one report of the members that granted a decided epoch and those that did not") {
-  const told told = decide({{"a", {}}, {"b", {}}});
-  CHECK(told.calls == 1);
-  CHECK(succeeded(*told.result));
-  CHECK(told.ground() == refusal_ground::none);
-  CHECK(told.votes->granted_text() == "a/disk-a, b/disk-b");
-  CHECK(told.votes->refused_text() == "c/disk-c silent");
+  const decision_report report = decide({{"a", {}}, {"b", {}}});
+  CHECK(report.calls == 1);
+  CHECK(succeeded(*report.result));
+  CHECK(report.ground() == refusal_ground::none);
+  CHECK(report.votes->granted_text() == "a/disk-a, b/disk-b");
+  CHECK(report.votes->refused_text() == "c/disk-c silent");
 }
 
 TEST_CASE("a proposer receives the members that refused an epoch and their reasons") {
-  const told copies =
+  const decision_report copies =
       decide({{"a", {}}, {"b", {wire::ReplicaStatus::NotReady}}, {"c", {wire::ReplicaStatus::NotReady}}});
   CHECK(copies.calls == 1);
   CHECK(copies.ground() == refusal_ground::not_admitted);
   CHECK(copies.votes->granted_text() == "a/disk-a");
   CHECK(copies.votes->refused_text() == "b/disk-b not_admitted, c/disk-c not_admitted");
 
-  const told silent = decide({{"a", {}}});
+  const decision_report silent = decide({{"a", {}}});
   CHECK(silent.ground() == refusal_ground::silent);
   CHECK(silent.votes->refused_text() == "b/disk-b silent, c/disk-c silent");
 
-  const told lacking =
+  const decision_report lacking =
       decide({{"a", {wire::ReplicaStatus::Granted, false}}, {"b", {wire::ReplicaStatus::Granted, false}}});
   CHECK(lacking.ground() == refusal_ground::not_whole);
   CHECK(lacking.votes->granted_text() == "a/disk-a not_whole, b/disk-b not_whole");
@@ -153,7 +153,7 @@
 TEST_CASE("a proposer receives a report that the member to be given up has answered") {
   EpochRule rule;
   rule.given_up = kC;
-  const told told = decide({{"c", {}}}, rule);
-  CHECK(told.ground() == refusal_ground::given_up_answers);
-  CHECK(told.votes->refused_text() == "a/disk-a silent, b/disk-b silent, c/disk-c given_up_answers");
+  const decision_report report = decide({{"c", {}}}, rule);
+  CHECK(report.ground() == refusal_ground::given_up_answers);
+  CHECK(report.votes->refused_text() == "a/disk-a silent, b/disk-b silent, c/disk-c given_up_answers");
 }
--- a/tests/ledger/epoch_change_test.cpp
+++ b/tests/ledger/epoch_change_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kReplicas = 3;
 
 /// A fleet whose states the test sets.
-class told_view : public fleet_view {
+class fake_fleet_view : public fleet_view {
  public:
   replica_state state_of(const ReplicaIdentity& replica) override {
     const auto told = states.find(replica);
@@ -44,7 +44,7 @@
 }  // namespace
 
 TEST_CASE("a lost disk is replaced by the one that its node has now, by a majority") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::disk_replaced;
   view.free = {{kNewA, "1"}, {kB, "2"}, {kC, "3"}, {kD, "1"}};
   const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE("of a pair the one that is left decides alone, if the store names it") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}};
   const auto change = wanted_change({4, {kA, kB}, {}}, view, kReplicas);
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("a group that is short of members takes another disk") {
-  told_view view;
+  fake_fleet_view view;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
   const auto change = wanted_change({4, {kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("a draining member leaves a group of three where no other disk is free") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::retiring;
   view.free = {{kB, "2"}, {kC, "3"}};
   const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
@@ -83,7 +83,7 @@
 
 // Guards against a planned replacement in which the machine is removed before its successor is a member.
 TEST_CASE("a member whose process was asked to stop hands its place to a free disk and is copied from") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::stopping;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
   const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("a member whose process was asked to stop keeps its place where no other disk is free") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::stopping;
   view.free = {{kB, "2"}, {kC, "3"}};
   CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
@@ -102,7 +102,7 @@
 
 // Guards against rolling restarts that move places from node to node where every disk has some.
 TEST_CASE("a member whose process was asked to stop keeps its place where the free disk has places of other nodes") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::stopping;
   view.used_elsewhere = kD;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
@@ -110,7 +110,7 @@
 }
 
 TEST_CASE("a draining member is removed beside one whose process was asked to stop and keeps its place") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::stopping;
   view.states[kB] = replica_state::retiring;
   view.used_elsewhere = kD;
@@ -121,7 +121,7 @@
 }
 
 TEST_CASE("of two members that stop at the same time neither gives up its place") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::stopping;
   view.states[kB] = replica_state::stopping;
   view.free = {{kC, "3"}, {kD, "1"}};
@@ -130,7 +130,7 @@
 
 // Found by the epoch model: its place stayed empty permanently, so that the next lost disk left no majority.
 TEST_CASE("a draining member that has lost its disk gives up its place") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::disk_replaced;
   view.retiring = kA.node;
   view.free = {{kB, "2"}, {kC, "3"}};
@@ -143,7 +143,7 @@
 // Found by the epoch model: the new disk took the place of the leaving member and then waited to copy from the member
 // that was gone; a single voting member was left.
 TEST_CASE("a member that is gone is replaced before a leaving one is removed") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::retiring;
   view.states[kB] = replica_state::missing;
   view.free = {{kC, "3"}, {kD, "2"}};
@@ -155,7 +155,7 @@
 // Guards against lost records: those that only it and the next lost member held were on no other disk, although it had
 // returned.
 TEST_CASE("an unresponsive member whose place another disk takes is copied from until a majority is whole") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
   const auto replaced = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
@@ -168,7 +168,7 @@
 }
 
 TEST_CASE("an unresponsive member that returns takes the place of a lost one where no other disk is free") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kB] = replica_state::missing;
   view.free = {{kA, "1"}, {kC, "3"}, {kD, "1"}};
   const auto change = wanted_change({5, {kD, kB, kC}, {kA}}, view, kReplicas);
@@ -177,7 +177,7 @@
 }
 
 TEST_CASE("a member that leaves stays as long as the others would have no majority without it") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::retiring;
   view.states[kB] = replica_state::missing;
   view.free = {{kC, "3"}};
@@ -185,7 +185,7 @@
 }
 
 TEST_CASE("a member that has left and is gone is no longer copied from") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}, {kC, "3"}};
   const auto change = wanted_change({5, {kB, kC}, {kA}}, view, kReplicas);
@@ -197,7 +197,7 @@
 // Guards against naming a node as its own substitute: a node that had just started did not know yet that it was
 // draining. Reproduced by simulation mix `losses`, qasr, seeds 14 and 252.
 TEST_CASE("a node that leaves takes no place in the group that it leaves") {
-  told_view view;
+  fake_fleet_view view;
   view.free = {{kA, "1"}, {kB, "2"}, {kC, "3"}};
   CHECK_FALSE(wanted_change({5, {kB, kC}, {kA}}, view, kReplicas));
 }
@@ -205,7 +205,7 @@
 // Guards against results lost for good: a pair lost one member while a third, draining disk still held every record;
 // the other member continued alone, and its disk was lost next.
 TEST_CASE("a draining member takes the place of a lost member of a pair where no other disk is free") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::retiring;
   view.states[kC] = replica_state::missing;
   view.retiring = kA.node;
@@ -231,7 +231,7 @@
 }
 
 TEST_CASE("an unresponsive member that returns joins a group with a draining member that cannot be removed yet") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::retiring;
   view.retiring = kA.node;
   view.free = {{kB, "2"}, {kC, "3"}};
@@ -241,7 +241,7 @@
 }
 
 TEST_CASE("a leaving member is given up only once enough others are whole to tolerate the configured losses") {
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}};
   const auto change = wanted_change({5, {kB}, {kA}}, view, kReplicas);
@@ -256,7 +256,7 @@
 TEST_CASE("a lost disk is replaced before an unresponsive member, whose removal needs more votes") {
   const ReplicaIdentity new_b{NodeId("b"), DiskId("disk-b2")};
   const ReplicaIdentity e{NodeId("e"), DiskId("disk-e")};
-  told_view view;
+  fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.states[kB] = replica_state::disk_replaced;
   view.free = {{new_b, "2"}, {kC, "3"}, {kD, "1"}, {e, "1"}};
@@ -267,7 +267,7 @@
 }
 
 TEST_CASE("a leaving member takes no place, unless that rule is disabled") {
-  told_view view;
+  fake_fleet_view view;
   view.free = {{kA, "1"}, {kB, "2"}, {kC, "3"}};
   const ReplicaGroup group{5, {kB, kC}, {kA}};
   CHECK_FALSE(wanted_change(group, view, kReplicas));
--- a/tests/ledger/epoch_model.cpp
+++ b/tests/ledger/epoch_model.cpp
@@ -18,8 +18,8 @@
 using ledger::ReplicaGroup;
 using ledger::ReplicaIdentity;
 
-constexpr unsigned kMostEpochs = 12;
-constexpr unsigned kMostWrites = 2;
+constexpr unsigned kMaxEpochs = 12;
+constexpr unsigned kMaxWrites = 2;
 constexpr std::uint8_t kNobody = 0xFF;
 using node_set = std::uint8_t;  ///< One bit per machine; stands for the machine's current disk.
 
@@ -53,7 +53,7 @@
   bool whole_last = false;     ///< It was whole in the epoch before this one.
   bool followed = false;       ///< Its disk has seen the epoch before this one.
   /// The epoch of the consent stored on its disk; 0: no consent, or one for an epoch that it knows to be over.
-  std::uint8_t agreed = 0;
+  std::uint8_t consented_epoch = 0;
   auto operator<=>(const machine&) const = default;
 };
 
@@ -66,19 +66,19 @@
 };
 
 struct model_state {
-  std::array<machine, kMostNodes> machines;
-  std::vector<description> epochs;               ///< Decided epochs; the first one is epoch 1.
-  std::array<node_set, kMostEpochs> voters{};    ///< Disks that store a vote for the next epoch, by epoch.
-  std::array<std::uint8_t, kMostEpochs> sole{};  ///< The sole decider that the store named after an epoch, or kNobody.
-  std::array<node_set, kMostWrites> held{};      ///< Disks that hold each confirmed record.
+  std::array<machine, kMaxNodes> machines;
+  std::vector<description> epochs;              ///< Decided epochs; the first one is epoch 1.
+  std::array<node_set, kMaxEpochs> voters{};    ///< Disks that store a vote for the next epoch, by epoch.
+  std::array<std::uint8_t, kMaxEpochs> sole{};  ///< The sole decider that the store named after an epoch, or kNobody.
+  std::array<node_set, kMaxWrites> held{};      ///< Disks that hold each confirmed record.
   std::uint8_t written = 0;
   std::uint8_t published = 1;  ///< The epoch that nodes read from the store when they start.
   bool store_up = true;
   std::uint8_t lost = 0;  ///< Disks lost since all records were last fully copied.
   std::uint8_t faults = 0;
   std::optional<fleet_belief> earlier;  ///< The view of a maintainer that missed some changes.
-  std::array<consent, kMostNodes> consents{};
-  node_set emptied = 0;  ///< Machines that were drained and removed.
+  std::array<consent, kMaxNodes> consents{};
+  node_set drained = 0;  ///< Machines that were drained and removed.
 
   unsigned latest() const { return static_cast<unsigned>(epochs.size()); }
   const description& of(unsigned epoch) const { return epochs.at(epoch - 1); }
@@ -99,7 +99,7 @@
 }
 std::string text_of(node_set set) {
   std::string text;
-  for (unsigned node = 0; node < kMostNodes; ++node) {
+  for (unsigned node = 0; node < kMaxNodes; ++node) {
     text += has(set, node) ? name_of(node) : "";
   }
   return text;
@@ -118,13 +118,13 @@
     put(one.copied);
     put(one.copied_votes);
     put(one.copied_whole);
-    put(one.agreed);
+    put(one.consented_epoch);
   }
   for (const consent& one : state.consents) {
     put(one.epoch == 0 ? 0U : one.disk_number * 16U + one.epoch);
     put(one.last_resort ? 1 : 0);
   }
-  put(state.emptied);
+  put(state.drained);
   key += state.earlier ? key_of(*state.earlier) : "";
   put(state.earlier ? 1 : 0);
   for (unsigned epoch = 1; epoch <= state.latest(); ++epoch) {
@@ -135,7 +135,7 @@
       put(0xFE);
     }
   }
-  for (unsigned epoch = 0; epoch < kMostEpochs; ++epoch) {
+  for (unsigned epoch = 0; epoch < kMaxEpochs; ++epoch) {
     put(state.voters[epoch]);
     put(state.sole[epoch]);
   }
@@ -153,7 +153,7 @@
 /// @return the current fleet.
 fleet_belief fleet_of(const model_state& state) {
   fleet_belief fleet;
-  for (unsigned node = 0; node < kMostNodes; ++node) {
+  for (unsigned node = 0; node < kMaxNodes; ++node) {
     const machine& one = state.machines[node];
     fleet[node] = {one.state, one.disk_number, one.retiring};
   }
@@ -191,7 +191,7 @@
     fork_consents(state, result);
     fork_views(state, result);
     for (auto& [move, then] : result) {
-      forget_what_may_come_again(then);
+      drop_postponable_knowledge(then);
     }
     return result;
   }
@@ -199,9 +199,9 @@
   /// @return @p state without details that affect no later transition, which reduces the number of states to visit.
   model_state canonical(model_state state) const {
     bool published_is_known = false;
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       machine& one = state.machines[node];
-      const bool here = one.state == presence::up || one.state == presence::silent;
+      const bool here = one.state == presence::up || one.state == presence::unresponsive;
       if (!here) {
         continue;
       }
@@ -231,7 +231,7 @@
       state.published = 0;
     }
     for (unsigned epoch = 1; epoch < state.latest(); ++epoch) {
-      forget_past(state, epoch);
+      drop_past_epoch(state, epoch);
     }
     return state;
   }
@@ -253,10 +253,10 @@
 
   /// @return the violation that remains once all processes and the store are back and no more faults happen; empty if
   /// there is none.
-  std::string check_return(model_state state) {
+  std::string check_recovery(model_state state) {
     for (machine& one : state.machines) {
-      if (one.state == presence::silent || one.state == presence::up) {
-        start_anew(one);
+      if (one.state == presence::unresponsive || one.state == presence::up) {
+        restart(one);
       }
     }
     state.store_up = true;
@@ -264,24 +264,24 @@
     state.faults = 0;
     state.earlier.reset();
     state.consents = {};
-    const auto [known, unknown] = judged_.try_emplace(key_of(state));
+    const auto [known, unknown] = recovery_violations_.try_emplace(key_of(state));
     if (unknown) {
-      known->second = judge_return(std::move(state));
+      known->second = find_recovery_violation(std::move(state));
     }
     return known->second;
   }
-  std::size_t judged() const { return judged_.size(); }
+  std::size_t checked_recoveries() const { return recovery_violations_.size(); }
 
   std::string violation;
 
  private:
   /// Removes from @p state the details of @p epoch if no machine is in it or can still enter it.
-  void forget_past(model_state& state, unsigned epoch) const {
+  void drop_past_epoch(model_state& state, unsigned epoch) const {
     bool decides = false;
     bool known = epoch == state.published || !rules_.fence_old_epochs || !rules_.members_tell_epoch;
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
-      if (one.state != presence::up && one.state != presence::silent) {
+      if (one.state != presence::up && one.state != presence::unresponsive) {
         continue;
       }
       const bool member = is_member(state, epoch, node);
@@ -298,12 +298,12 @@
     }
   }
 
-  std::string judge_return(model_state state) {
-    for (unsigned round = 0; round < 4 * kMostEpochs; ++round) {
+  std::string find_recovery_violation(model_state state) {
+    for (unsigned round = 0; round < 4 * kMaxEpochs; ++round) {
       const std::string before = key_of(state);
       const unsigned known = epoch_known_at_start(state);
       state.published = static_cast<std::uint8_t>(known);
-      for (unsigned node = 0; node < kMostNodes; ++node) {
+      for (unsigned node = 0; node < kMaxNodes; ++node) {
         adopt(state, node, known);
       }
       copy_all(state);
@@ -315,7 +315,7 @@
         return violation;
       }
       // The maintainer that decides the epoch, or finds it decided, sends it to all members.
-      for (unsigned node = 0; decided && known < state.latest() && node < kMostNodes; ++node) {
+      for (unsigned node = 0; decided && known < state.latest() && node < kMaxNodes; ++node) {
         adopt(state, node, known + 1);
       }
       if (!decided && key_of(state) == before) {
@@ -333,11 +333,11 @@
         return "all are back, and the place of " + name_of(place) + " in " + group + " stays empty permanently";
       }
     }
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
-      if (one.state == presence::up && one.retiring && waits_for_agreed(one)) {
+      if (one.state == presence::up && one.retiring && waits_for_consented_epoch(one)) {
         return "all are back, and " + name_of(node) + " is never drained: it consented to epoch " +
-               std::to_string(one.agreed) + ", which is never decided";
+               std::to_string(one.consented_epoch) + ", which is never decided";
       }
     }
     return "";
@@ -359,7 +359,7 @@
   /// @return the machines whose votes count in @p epoch now.
   node_set voting_in(const model_state& state, unsigned epoch) const {
     node_set result = 0;
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
       const bool fits = rules_.fence_old_epochs ? one.epoch == epoch : one.epoch >= epoch;
       if (takes_part(one) && fits && one.voted && !one.returning && is_member(state, epoch, node)) {
@@ -369,9 +369,9 @@
     return result;
   }
 
-  void start_anew(machine& one) const {
+  void restart(machine& one) const {
     one.state = presence::up;
-    one.agreed = rules_.consents_are_durable ? one.agreed : 0;
+    one.consented_epoch = rules_.consents_are_durable ? one.consented_epoch : 0;
     one.dropped = false;
     one.copied = 0;
     one.copied_votes = 0;
@@ -384,7 +384,7 @@
     if (one.state != presence::up || epoch <= one.epoch) {
       return;
     }
-    one.agreed = one.agreed <= epoch ? 0 : one.agreed;
+    one.consented_epoch = one.consented_epoch <= epoch ? 0 : one.consented_epoch;
     if (!is_member(state, epoch, node) && !leaves(state, epoch, node)) {
       one.dropped = true;
       return;
@@ -488,11 +488,11 @@
       one.returning = false;
     }
     one.full = one.full || one.whole || holds_all(state, node);
-    forget_what_is_settled(state, node);
+    normalize_whole_member(state, node);
   }
 
   /// Clears the details of a whole member that have no further effect, so that equivalent states compare equal.
-  void forget_what_is_settled(model_state& state, unsigned node) const {
+  void normalize_whole_member(model_state& state, unsigned node) const {
     machine& one = state.machines[node];
     if (!one.whole) {
       return;
@@ -551,7 +551,7 @@
   }
 
   void copy_all(model_state& state) const {
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       for (const disk& from : all_sources(state, node)) {
         copy(state, node, from);
       }
@@ -566,7 +566,7 @@
     unsigned known = state.published;
     for (bool learnt = true; learnt;) {
       learnt = false;
-      for (unsigned node = 0; node < kMostNodes; ++node) {
+      for (unsigned node = 0; node < kMaxNodes; ++node) {
         const machine& one = state.machines[node];
         const auto named = [node](const disk& place) { return place.node == node; };
         const description& group = state.of(known);
@@ -581,13 +581,13 @@
   }
 
   void steps_of_members(const model_state& state, moves& result) const {
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
       if (one.state == presence::up) {
         const unsigned first = scope_.coarse ? std::max(state.latest(), one.epoch + 1U) : one.epoch + 1U;
         for (unsigned epoch = first; epoch <= state.latest(); ++epoch) {
-          const bool agreed_to_it = one.agreed > 0 && one.agreed <= epoch;
-          if (one.dropped && !agreed_to_it && !is_member(state, epoch, node) && !leaves(state, epoch, node)) {
+          const bool consented_to_it = one.consented_epoch > 0 && one.consented_epoch <= epoch;
+          if (one.dropped && !consented_to_it && !is_member(state, epoch, node) && !leaves(state, epoch, node)) {
             continue;
           }
           model_state then = state;
@@ -626,7 +626,7 @@
       return voting_in(state, epoch);
     }
     node_set result = 0;
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
       if (takes_part(one) && one.epoch == epoch && is_member(state, epoch, node)) {
         result |= only(node);
@@ -645,7 +645,7 @@
       return true;
     }
     unsigned whole = 0;
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
       const bool let_go =
           change.rule.let_go && disk_of(*change.rule.let_go) == disk{static_cast<std::uint8_t>(node), one.disk_number};
@@ -660,13 +660,13 @@
 
   /// Adds one successor for each set of members of @p epoch that may decide the next epoch.
   /// @param view the proposer's view of the fleet
-  void decide(const model_state& state, unsigned epoch, const fleet_belief& view, bool silent_are_missing,
+  void decide(const model_state& state, unsigned epoch, const fleet_belief& view, bool unresponsive_are_missing,
               moves& result) {
-    auto change = change_of(state, epoch, view, silent_are_missing);
-    if (!change && uses_up_number(state, epoch)) {
+    auto change = change_of(state, epoch, view, unresponsive_are_missing);
+    if (!change && needs_unchanged_epoch(state, epoch)) {
       change = no_change(state, epoch);
     }
-    if (!change || epoch + 1 >= kMostEpochs || given_up_answers(state, *change)) {
+    if (!change || epoch + 1 >= kMaxEpochs || given_up_answers(state, *change)) {
       return;
     }
     const node_set voting = deciding_in(state, epoch);
@@ -684,10 +684,10 @@
     if (!decided && !may_decide(state, epoch, *change, allowed, quorum)) {
       return;
     }
-    if (!decided && !(may_join(state, epoch, joining) && all_agree(state, epoch, joining, view))) {
+    if (!decided && !(may_join(state, epoch, joining) && all_consent(state, epoch, joining, view))) {
       return;
     }
-    for (unsigned set = 1; set < 1U << kMostNodes; ++set) {
+    for (unsigned set = 1; set < 1U << kMaxNodes; ++set) {
       const auto chosen = static_cast<node_set>(set);
       if ((chosen & ~allowed) != 0 || size_of(chosen) != quorum) {
         continue;
@@ -704,8 +704,8 @@
       model_state then = state;
       then.epochs.push_back(wanted);
       then.voters[epoch] = scope_.coarse ? voting : chosen;
-      note_joining(then, joining);
-      for (unsigned node = 0; scope_.coarse && node < kMostNodes; ++node) {
+      record_joining(then, joining);
+      for (unsigned node = 0; scope_.coarse && node < kMaxNodes; ++node) {
         adopt(then, node, epoch + 1);
       }
       result.emplace_back(text_of(chosen) + " decide epoch " + std::to_string(epoch + 1) + " " + text_of(wanted) +
@@ -732,10 +732,10 @@
 
   /// @return the change that the production code wants; cached, since the same few inputs recur often.
   std::optional<ledger::epoch_change> change_of(const model_state& state, unsigned epoch, const fleet_belief& view,
-                                                bool silent_are_missing) {
+                                                bool unresponsive_are_missing) {
     const description& present = state.of(epoch);
     std::string key = key_of(view);
-    key.push_back(silent_are_missing ? 1 : 0);
+    key.push_back(unresponsive_are_missing ? 1 : 0);
     key.push_back(static_cast<char>(epoch));
     key += text_of(present);
     const auto [known, unknown] = changes_.try_emplace(key);
@@ -745,7 +745,7 @@
       if (rules_.obsolete_disks_known) {
         named.insert(named.end(), present.leaving.begin(), present.leaving.end());
       }
-      believed_fleet fleet(view, silent_are_missing, std::move(named));
+      believed_fleet fleet(view, unresponsive_are_missing, std::move(named));
       known->second = ledger::wanted_change(group, fleet, scope_.disks);
     }
     return known->second;
@@ -783,8 +783,8 @@
     for (const auto* list : {&before.replicas, &before.leaving}) {
       for (const disk& one : *list) {
         const machine_belief& believed = view[one.node];
-        const bool emptied = believed.state == presence::gone && has(state.emptied, one.node);
-        const bool for_good = emptied || believed.retiring || believed.disk_number != one.number;
+        const bool drained = believed.state == presence::gone && has(state.drained, one.node);
+        const bool for_good = drained || believed.retiring || believed.disk_number != one.number;
         const bool named = contains(wanted.replicas, one) || contains(wanted.leaving, one);
         if (!named && (for_good || rules_.departed == departed_rule::all_kept)) {
           wanted.departed.push_back(one);
@@ -807,11 +807,11 @@
       return "";
     }
     std::string text = ", proposed by a maintainer that believes in";
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine_belief& one = view[node];
-      if (one.state == presence::up || one.state == presence::silent) {
+      if (one.state == presence::up || one.state == presence::unresponsive) {
         text += " " + name_of({static_cast<std::uint8_t>(node), one.disk_number});
-        text += one.state == presence::silent ? " unresponsive" : "";
+        text += one.state == presence::unresponsive ? " unresponsive" : "";
         text += one.retiring ? " draining" : "";
       }
     }
@@ -835,7 +835,7 @@
 
   /// @return whether @p one would consent now to be a member of the epoch after @p epoch.
   /// @param last_resort whether it is asked to return though it is draining
-  bool would_agree(const model_state& state, unsigned epoch, const disk& one, bool last_resort) const {
+  bool would_consent(const model_state& state, unsigned epoch, const disk& one, bool last_resort) const {
     const machine& candidate = state.machines[one.node];
     if (candidate.state != presence::up || candidate.disk_number != one.number || candidate.epoch > epoch) {
       return false;
@@ -845,7 +845,7 @@
   }
   /// @return whether @p one has consented to be a member of the epoch after @p epoch.
   /// @param last_resort whether it was asked to return though it is draining
-  bool has_agreed(const model_state& state, unsigned epoch, const disk& one, bool last_resort) const {
+  bool has_consented(const model_state& state, unsigned epoch, const disk& one, bool last_resort) const {
     const consent& given = state.consents[one.node];
     const bool for_this = given.epoch == epoch + 1 || (!rules_.consent_for_one_epoch && given.epoch > 0);
     const bool for_that = !given.last_resort || last_resort || !rules_.consent_for_what_was_asked;
@@ -853,33 +853,36 @@
   }
   /// @return whether all of @p joining consent or have consented to the epoch after @p epoch.
   /// @param view the proposer's view of the fleet
-  bool all_agree(const model_state& state, unsigned epoch, const std::vector<disk>& joining,
-                 const fleet_belief& view) const {
+  bool all_consent(const model_state& state, unsigned epoch, const std::vector<disk>& joining,
+                   const fleet_belief& view) const {
     return !rules_.candidates_consent || std::all_of(joining.begin(), joining.end(), [&](const disk& one) {
       const bool last_resort = view[one.node].retiring;
-      return has_agreed(state, epoch, one, last_resort) || would_agree(state, epoch, one, last_resort);
+      return has_consented(state, epoch, one, last_resort) || would_consent(state, epoch, one, last_resort);
     });
   }
   /// Records that the latest epoch names @p joining, which were not members before.
-  void note_joining(model_state& state, const std::vector<disk>& joining) {
+  void record_joining(model_state& state, const std::vector<disk>& joining) {
     for (const disk& one : joining) {
       machine& joins = state.machines[one.node];
-      if (has(state.emptied, one.node) && joins.disk_number == one.number) {
+      if (has(state.drained, one.node) && joins.disk_number == one.number) {
         violation = "epoch " + std::to_string(state.latest()) + " " + text_of(state.of(state.latest())) + " names " +
                     name_of(one) + ", which was drained and removed";
       }
       if (rules_.candidates_consent && joins.disk_number == one.number && joins.state != presence::gone) {
-        joins.agreed = static_cast<std::uint8_t>(state.latest());
+        joins.consented_epoch = static_cast<std::uint8_t>(state.latest());
       }
     }
   }
-  bool waits_for_agreed(const machine& one) const { return rules_.consent_holds_up_emptying && one.agreed > 0; }
+  bool waits_for_consented_epoch(const machine& one) const {
+    return rules_.consent_delays_draining && one.consented_epoch > 0;
+  }
   /// @return whether a draining machine waits for the epoch after @p epoch because of its consent. The members then
   /// decide that epoch unchanged.
-  bool uses_up_number(const model_state& state, unsigned epoch) const {
+  bool needs_unchanged_epoch(const model_state& state, unsigned epoch) const {
     return rules_.unused_consents_end &&
            std::any_of(state.machines.begin(), state.machines.end(), [&](const machine& one) {
-             return one.state == presence::up && one.retiring && waits_for_agreed(one) && one.agreed == epoch + 1;
+             return one.state == presence::up && one.retiring && waits_for_consented_epoch(one) &&
+                    one.consented_epoch == epoch + 1;
            });
   }
   ledger::epoch_change no_change(const model_state& state, unsigned epoch) const {
@@ -893,7 +896,7 @@
     const disk one{static_cast<std::uint8_t>(node), state.machines[node].disk_number};
     const consent& given = state.consents[node];
     const bool asked = given.epoch == epoch + 1 && given.disk_number == one.number;
-    return !asked && epoch + 1 < kMostEpochs && !is_member(state, epoch, node) && would_agree(state, epoch, one, true);
+    return !asked && epoch + 1 < kMaxEpochs && !is_member(state, epoch, node) && would_consent(state, epoch, one, true);
   }
   /// Adds variants in which a disk consented earlier in this epoch. A consent only matters once the disk would no
   /// longer give it, so the variant is added at that point.
@@ -904,12 +907,12 @@
     const fleet_belief before = fleet_of(state);
     for (std::size_t at = 0, moves_before = result.size(); at < moves_before; ++at) {
       const fleet_belief after = fleet_of(result[at].second);
-      for (unsigned node = 0; node < kMostNodes; ++node) {
+      for (unsigned node = 0; node < kMaxNodes; ++node) {
         if (before[node] == after[node] || !may_be_asked(state, node)) {
           continue;
         }
-        const bool leaves_now = after[node].state == presence::gone && has(result[at].second.emptied, node);
-        if (leaves_now && rules_.consent_holds_up_emptying) {
+        const bool leaves_now = after[node].state == presence::gone && has(result[at].second.drained, node);
+        if (leaves_now && rules_.consent_delays_draining) {
           continue;
         }
         auto [move, then] = result[at];
@@ -917,7 +920,7 @@
         then.consents[node] = {before[node].disk_number, epoch, before[node].retiring};
         const bool keeps_disk =
             after[node].state != presence::gone && after[node].disk_number == before[node].disk_number;
-        then.machines[node].agreed = keeps_disk ? epoch : then.machines[node].agreed;
+        then.machines[node].consented_epoch = keeps_disk ? epoch : then.machines[node].consented_epoch;
         result.emplace_back(name_of(node) + " consents to epoch " + std::to_string(epoch) + "; " + move,
                             std::move(then));
       }
@@ -937,7 +940,7 @@
       }
       model_state unheard = then;
       unheard.earlier = state.earlier.value_or(before);
-      for (unsigned node = 0; then.earlier && node < kMostNodes; ++node) {
+      for (unsigned node = 0; then.earlier && node < kMaxNodes; ++node) {
         (*then.earlier)[node] = before[node] == after[node] ? (*then.earlier)[node] : after[node];
       }
       result.emplace_back(move + ", missed by a maintainer", std::move(unheard));
@@ -945,11 +948,11 @@
   }
   /// Drops consents and views that can be added later with the same effect, which reduces the number of states to
   /// visit.
-  void forget_what_may_come_again(model_state& state) const {
+  void drop_postponable_knowledge(model_state& state) const {
     if (state.earlier && *state.earlier == fleet_of(state)) {
       state.earlier.reset();
     }
-    for (unsigned node = 0; rules_.consent_for_one_epoch && node < kMostNodes; ++node) {
+    for (unsigned node = 0; rules_.consent_for_one_epoch && node < kMaxNodes; ++node) {
       consent& given = state.consents[node];
       machine& one = state.machines[node];
       if (given.epoch > 0 && given.epoch <= state.latest()) {
@@ -957,9 +960,9 @@
       }
       const disk present{static_cast<std::uint8_t>(node), one.disk_number};
       const bool undecided = given.epoch > state.latest() && given.disk_number == one.disk_number;
-      if (undecided && !one.retiring && would_agree(state, state.latest(), present, false)) {
+      if (undecided && !one.retiring && would_consent(state, state.latest(), present, false)) {
         given = {};
-        one.agreed = one.agreed > state.latest() ? 0 : one.agreed;
+        one.consented_epoch = one.consented_epoch > state.latest() ? 0 : one.consented_epoch;
       }
     }
   }
@@ -980,9 +983,9 @@
   /// Adds the decisions on the epoch after @p epoch that a maintainer with @p view proposes.
   void propose(const model_state& state, unsigned epoch, const fleet_belief& view, moves& result) {
     decide(state, epoch, view, false, result);
-    const bool silent =
-        std::any_of(view.begin(), view.end(), [](const machine_belief& one) { return one.state == presence::silent; });
-    if (silent && scope_.silent_replaced) {
+    const bool silent = std::any_of(view.begin(), view.end(),
+                                    [](const machine_belief& one) { return one.state == presence::unresponsive; });
+    if (silent && scope_.replace_unresponsive) {
       decide(state, epoch, view, true, result);
     }
   }
@@ -1007,7 +1010,7 @@
     }
     for (unsigned epoch = 1; epoch <= state.latest(); ++epoch) {
       const node_set voting = voting_in(state, epoch);
-      for (unsigned set = 1; set < 1U << kMostNodes; ++set) {
+      for (unsigned set = 1; set < 1U << kMaxNodes; ++set) {
         const auto chosen = static_cast<node_set>(set);
         if ((chosen & ~voting) != 0 || size_of(chosen) != majority_of(state.of(epoch))) {
           continue;
@@ -1038,20 +1041,20 @@
   }
 
   void faults(const model_state& state, moves& result) {
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
-      if (one.state == presence::silent) {
+      if (one.state == presence::unresponsive) {
         model_state then = state;
         then.machines[node].state = presence::up;
         result.emplace_back(name_of(node) + " is back", std::move(then));
         then = state;
-        start_anew(then.machines[node]);
+        restart(then.machines[node]);
         result.emplace_back(name_of(node) + " is back, restarted", std::move(then));
       }
       if (one.state == presence::up && one.retiring && has_left(state, node)) {
         model_state then = state;
         remove(then, node);
-        then.emptied |= only(node);
+        then.drained |= only(node);
         check_copies_left(state, then, node);
         check_not_named(state, node);
         result.emplace_back(name_of(node) + " has left and is removed", std::move(then));
@@ -1080,10 +1083,10 @@
   unsigned started_spares(const model_state& state) const {
     const auto first = state.machines.begin() + scope_.disks + scope_.further;
     return static_cast<unsigned>(std::count_if(first, first + scope_.spares, [](const machine& one) {
-      return one.state == presence::up || one.state == presence::silent;
+      return one.state == presence::up || one.state == presence::unresponsive;
     }));
   }
-  static void forget_disk(model_state& state, unsigned node) {
+  static void erase_disk(model_state& state, unsigned node) {
     const auto others = static_cast<node_set>(~only(node));
     for (node_set& holders : state.held) {
       holders &= others;
@@ -1093,7 +1096,7 @@
     }
   }
   static void remove(model_state& state, unsigned node) {
-    forget_disk(state, node);
+    erase_disk(state, node);
     machine& one = state.machines[node];
     one = machine{presence::gone, one.disk_number, false, 0, false, false, false, false, false, 0};
   }
@@ -1122,10 +1125,10 @@
   /// @return whether retiring machine @p node is no longer in the group and all members hold its records.
   bool has_left(const model_state& state, unsigned node) const {
     const machine& one = state.machines[node];
-    if (waits_for_agreed(one)) {
+    if (waits_for_consented_epoch(one)) {
       return false;
     }
-    if (scope_.others_emptied && (one.dropped || one.epoch == 0)) {
+    if (scope_.others_drained && (one.dropped || one.epoch == 0)) {
       return true;
     }
     if (one.dropped || one.epoch == 0 || !leaves(state, one.epoch, node)) {
@@ -1148,12 +1151,12 @@
     model_state struck = state;
     ++struck.faults;
     const bool may_lose = scope_.tolerated > 0 && (state.lost < scope_.tolerated || whole(state));
-    for (unsigned node = 0; node < kMostNodes; ++node) {
+    for (unsigned node = 0; node < kMaxNodes; ++node) {
       const machine& one = state.machines[node];
-      const bool here = one.state == presence::up || one.state == presence::silent;
+      const bool here = one.state == presence::up || one.state == presence::unresponsive;
       if (one.state == presence::up) {
         model_state then = struck;
-        then.machines[node].state = presence::silent;
+        then.machines[node].state = presence::unresponsive;
         result.emplace_back(name_of(node) + " becomes unresponsive", std::move(then));
       }
       if (here && may_lose) {
@@ -1161,7 +1164,7 @@
       }
       const bool holds_group = one.epoch > 0 && is_member(state, one.epoch, node);
       const bool may_retire =
-          scope_.retirements && one.state == presence::up && !one.retiring && (holds_group || scope_.others_emptied);
+          scope_.retirements && one.state == presence::up && !one.retiring && (holds_group || scope_.others_drained);
       if (may_retire && std::none_of(state.machines.begin(), state.machines.end(), [](const machine& other) {
             return other.retiring || other.state == presence::gone;
           })) {
@@ -1172,8 +1175,8 @@
     }
     model_state dark = struck;
     for (machine& one : dark.machines) {
-      if (one.state == presence::up || one.state == presence::silent) {
-        start_anew(one);
+      if (one.state == presence::up || one.state == presence::unresponsive) {
+        restart(one);
       }
     }
     result.emplace_back("all lose power and start again", std::move(dark));
@@ -1188,7 +1191,7 @@
     model_state then = struck;
     then.lost = static_cast<std::uint8_t>((whole(state) ? 0 : state.lost) + 1);
     model_state gone = then;
-    forget_disk(then, node);
+    erase_disk(then, node);
     const machine before = then.machines[node];
     then.machines[node] = machine{presence::up,    static_cast<std::uint8_t>(before.disk_number + 1),
                                   before.retiring, 0,
@@ -1205,8 +1208,9 @@
   const model_scope scope_;
   const model_rules rules_;
   std::unordered_map<std::string, std::optional<ledger::epoch_change>> changes_;
-  bool found_decided_ = false;                           ///< Whether the last call of decide() found the epoch decided.
-  std::unordered_map<std::string, std::string> judged_;  ///< Violations that remain once all are back, by state.
+  bool found_decided_ = false;  ///< Whether the last call of decide() found the epoch decided.
+  std::unordered_map<std::string, std::string>
+      recovery_violations_;  ///< Violations that remain once all are back, by state.
 };
 
 /// How a state was reached: the index of its predecessor and the transition.
@@ -1238,10 +1242,10 @@
     auto [number, state] = std::move(open.front());
     open.pop_front();
     ++result.states;
-    result.quiet_states = model.judged();
+    result.recovery_states = model.checked_recoveries();
     result.violation = model.check_answers(state);
     if (result.violation.empty()) {
-      result.violation = model.check_return(state);
+      result.violation = model.check_recovery(state);
     }
     auto moves = result.violation.empty() ? model.next(state) : group_model::moves{};
     if (!model.violation.empty()) {
@@ -1258,7 +1262,7 @@
       all.push_back({number, std::move(move)});
       open.emplace_back(all.size() - 1, std::move(then));
     }
-    if (all.size() > scope.most_states) {
+    if (all.size() > scope.max_states) {
       result.complete = false;
       return result;
     }
--- a/tests/ledger/epoch_model.hpp
+++ b/tests/ledger/epoch_model.hpp
@@ -55,7 +55,7 @@
   bool consent_for_what_was_asked = true;
   bool consents_are_durable = true;  ///< A machine keeps its consents over a restart.
   /// A machine that consented to an epoch is not drained before it knows that epoch or a later one.
-  bool consent_holds_up_emptying = true;
+  bool consent_delays_draining = true;
   /// Where no other change needs that epoch, it is decided with the same members, so that the consent ends.
   bool unused_consents_end = true;
   bool given_up_may_answer = true;   ///< A reply of the member that is to be given up aborts the decision.
@@ -72,24 +72,24 @@
   unsigned writes = 1;     ///< Records confirmed in one path.
   bool retirements = false;
   /// Machines that hold no record of the group are drained, too, and leave at once.
-  bool others_emptied = false;
+  bool others_drained = false;
   bool store_away = false;
   /// Epochs may be proposed by a maintainer that knows the latest epoch but has an outdated view of the fleet.
   earlier_view earlier_views = earlier_view::none;
   /// Unresponsive members count as gone, as after a long time without a reply.
-  bool silent_replaced = true;
+  bool replace_unresponsive = true;
   /// Reduces the number of states, so that more disks can be modelled: all processes that are up learn of a decision at
   /// once, and a disk copies from all present members in one step.
   bool coarse = false;
-  std::size_t most_states = 4'000'000;  ///< The search stops as incomplete when there are more.
+  std::size_t max_states = 4'000'000;  ///< The search stops as incomplete when there are more.
 };
 
 /// The result of a search.
 struct model_result {
   std::size_t states = 0;
-  std::size_t quiet_states = 0;  ///< States that were also checked for recovery once everything is back.
-  bool complete = true;          ///< Every state was visited.
-  std::string violation;         ///< Empty when there is none.
+  std::size_t recovery_states = 0;  ///< States that were also checked for recovery once everything is back.
+  bool complete = true;             ///< Every state was visited.
+  std::string violation;            ///< Empty when there is none.
   std::vector<std::string> path;
 };
 
--- a/tests/ledger/model_fleet.cpp
+++ b/tests/ledger/model_fleet.cpp
@@ -30,8 +30,8 @@
   return key;
 }
 
-believed_fleet::believed_fleet(const fleet_belief& fleet, bool silent_are_missing, std::vector<disk> named)
-    : fleet_(fleet), missing_(silent_are_missing), named_(std::move(named)) {}
+believed_fleet::believed_fleet(const fleet_belief& fleet, bool unresponsive_are_missing, std::vector<disk> named)
+    : fleet_(fleet), missing_(unresponsive_are_missing), named_(std::move(named)) {}
 
 ledger::replica_state believed_fleet::state_of(const ReplicaIdentity& replica) {
   const disk wanted = disk_of(replica);
@@ -65,7 +65,7 @@
 
 std::vector<ledger::disk_place> believed_fleet::places() const {
   std::vector<ledger::disk_place> result;
-  for (unsigned node = 0; node < kMostNodes; ++node) {
+  for (unsigned node = 0; node < kMaxNodes; ++node) {
     const machine_belief& one = fleet_[node];
     const disk place{static_cast<std::uint8_t>(node), one.disk_number};
     if (believed(one) && !one.retiring && !is_obsolete(place)) {
@@ -76,7 +76,7 @@
 }
 
 bool believed_fleet::believed(const machine_belief& one) const {
-  return one.state == presence::up || (one.state == presence::silent && !missing_);
+  return one.state == presence::up || (one.state == presence::unresponsive && !missing_);
 }
 
 bool believed_fleet::is_obsolete(const disk& one) const {
--- a/tests/ledger/model_fleet.hpp
+++ b/tests/ledger/model_fleet.hpp
@@ -13,7 +13,7 @@
 
 namespace madderdeck::tests {
 
-constexpr unsigned kMostNodes = 6;
+constexpr unsigned kMaxNodes = 6;
 
 /// A disk, identified by its machine and the number of disks that this machine lost before.
 struct disk {
@@ -22,7 +22,7 @@
   auto operator<=>(const disk&) const = default;
 };
 
-enum class presence : std::uint8_t { up, silent, gone, spare };
+enum class presence : std::uint8_t { up, unresponsive, gone, spare };
 
 /// The state of a machine in a maintainer's view.
 struct machine_belief {
@@ -31,7 +31,7 @@
   bool retiring = false;
   auto operator<=>(const machine_belief&) const = default;
 };
-using fleet_belief = std::array<machine_belief, kMostNodes>;
+using fleet_belief = std::array<machine_belief, kMaxNodes>;
 
 /// @return "a", "b" and so on.
 std::string name_of(unsigned node);
@@ -48,9 +48,9 @@
 /// A fleet view made from a maintainer's belief; unresponsive machines count as present or as missing.
 class believed_fleet : public ledger::fleet_view {
  public:
-  /// @param silent_are_missing whether unresponsive machines count as missing
+  /// @param unresponsive_are_missing whether unresponsive machines count as missing
   /// @param named disks of the group's current epoch: an earlier disk of the same machine is obsolete
-  believed_fleet(const fleet_belief& fleet, bool silent_are_missing, std::vector<disk> named);
+  believed_fleet(const fleet_belief& fleet, bool unresponsive_are_missing, std::vector<disk> named);
 
   ledger::replica_state state_of(const ledger::ReplicaIdentity& replica) override;
   bool is_there(const ledger::ReplicaIdentity& replica) const override;
--- a/tests/ledger/place_consents_test.cpp
+++ b/tests/ledger/place_consents_test.cpp
@@ -36,7 +36,7 @@
     replica = std::make_unique<Replica>(environment, storage, counters, kC.node, kC.disk,
                                         [](const NodeId& node) { return std::optional(PeerAddress(node.str())); });
   }
-  void hear_of(std::uint64_t epoch) { replica->on_group_map({{{epoch, {kA, kB}, {}}}}); }
+  void learn_epoch(std::uint64_t epoch) { replica->on_group_map({{{epoch, {kA, kB}, {}}}}); }
   PlaceConsent offer(std::uint64_t epoch, bool although_retiring = false, const ReplicaIdentity& disk = kC) {
     wire::CopyStatusRequestT request;
     request.epoch = epoch;
@@ -72,7 +72,7 @@
 // of another one leaves one member of three.
 TEST_CASE("a draining disk takes no place, except where a group has no other disk") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   disk.replica->begin_emptying();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Retiring);
   CHECK(disk.may_go());
@@ -82,13 +82,13 @@
 // Others may still decide the epoch with the messages that its proposer sent before it became unreachable.
 TEST_CASE("a disk that has consented to a place is not drained before it knows whether that epoch names it") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
   disk.replica->begin_emptying();
   CHECK_FALSE(disk.may_go());
   CHECK(disk.replica->open_places() == std::vector<open_place>{{0, kDecided + 1}});
   SECTION("it does not") {
-    disk.hear_of(kDecided + 1);
+    disk.learn_epoch(kDecided + 1);
     CHECK(disk.may_go());
   }
   SECTION("it does") {
@@ -100,23 +100,23 @@
 
 TEST_CASE("a consent survives a power loss") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
   disk.storage.crash();
   disk.start();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   disk.replica->begin_emptying();
   CHECK_FALSE(disk.may_go());
 }
 
 TEST_CASE("a drained disk takes no place after a restart, whatever it receives") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   REQUIRE(disk.note_emptied());
   CHECK(disk.offer(kDecided + 1, true) == PlaceConsent::Retiring);
   disk.storage.crash();
   disk.start();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Retiring);
   disk.replica->keep_disk();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
@@ -124,13 +124,13 @@
 
 TEST_CASE("a node does not consent to a place for its former disk") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1, false, kNewC) == PlaceConsent::OtherDisk);
 }
 
 TEST_CASE("a disk takes no place in an epoch that is over, nor while it stops or refuses writes") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided) == PlaceConsent::EpochOver);
   disk.replica->suspend();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::NotReady);
@@ -153,7 +153,7 @@
 // had one of them decide alone, and that disk was lost next.
 TEST_CASE("one of a pair does not decide alone while it knows that the other one is reachable") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   wire::CopyStatusRequestT request;
   request.place_epoch = kDecided + 1;
   request.offered = std::make_unique<wire::ReplicaIdT>();
@@ -202,7 +202,7 @@
   spare_disk disk;
   disk.storage.put("c/0000", wire::Bytes{1, 2});
   disk.start();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::NotReady);
   CHECK_FALSE(disk.may_go());
 }
@@ -210,12 +210,12 @@
 // Guards against an ignored message of the platform that the disk stays, received before the disk could be read.
 TEST_CASE("a disk that stays takes places, also where its draining mark is read after the platform's message") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   REQUIRE(disk.note_emptied());
   disk.storage.crash();
   disk.start_unread();
   disk.replica->keep_disk();
   disk.replica->restore();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
 }
--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -561,7 +561,7 @@
 
 constexpr std::size_t kLargeValue = 200'000;
 constexpr std::size_t kLargeValues = 100;
-constexpr std::size_t kMostReadAtOnce = 5'000'000;  // bytes; 1 ms per MB, so 50 ms on a tenth of a core
+constexpr std::size_t kMaxBytesReadAtOnce = 5'000'000;  // bytes; 1 ms per MB, so 50 ms on a tenth of a core
 
 /// A replica that holds many large values.
 struct large_values {
@@ -615,7 +615,7 @@
     REQUIRE(held.environment.sent.size() == 1);
     const wire::CopyReplyT& reply = *held.environment.sent.front().body.AsCopyReply();
     REQUIRE(!reply.records.empty());
-    CHECK(held.storage.read_bytes <= kMostReadAtOnce);
+    CHECK(held.storage.read_bytes <= kMaxBytesReadAtOnce);
     ballots += reply.records.size();
     truncated = reply.truncated;
     after = "a:" + reply.records.back()->key;
@@ -638,7 +638,7 @@
   held.replica.handle(kCaller, request);
   REQUIRE(held.environment.sent.size() == 1);
   CHECK(!held.environment.sent.front().body.AsScanReply()->records.empty());
-  CHECK(held.storage.read_bytes <= kMostReadAtOnce);
+  CHECK(held.storage.read_bytes <= kMaxBytesReadAtOnce);
 }
 
 TEST_CASE("a page of promises is applied without reading the values that belong to them") {
@@ -657,7 +657,7 @@
   }
   held.storage.read_bytes = 0;
   held.replica.handle(PeerAddress("b"), page);
-  CHECK(held.storage.read_bytes <= kMostReadAtOnce);
+  CHECK(held.storage.read_bytes <= kMaxBytesReadAtOnce);
   wire::PrepareT prepare;
   prepare.epoch = 1;
   prepare.ballot = to_wire(Ballot{1, 9});
--- a/tests/ledger/rocksdb_power_schedules_test.cpp
+++ b/tests/ledger/rocksdb_power_schedules_test.cpp
@@ -28,10 +28,10 @@
 constexpr char kIdentityKey[] = "disk/identity";
 constexpr std::size_t kSmallBuffer = 64 << 10;  ///< Small enough that tables are written and merged within a schedule.
 constexpr unsigned kKeys = 40;
-constexpr unsigned kMostSteps = 150;
-constexpr unsigned kMostChanges = 400;
+constexpr unsigned kMaxSteps = 150;
+constexpr unsigned kMaxChanges = 400;
 constexpr unsigned kLosses = 5;
-constexpr std::size_t kMostValueBytes = 6000;
+constexpr std::size_t kMaxValueBytes = 6000;
 constexpr std::uint64_t kSchedulesInCi = 60;
 
 /// The life of one disk through several power losses.
@@ -64,7 +64,7 @@
   void live_until_loss() {
     lossy_files files(names_, random_());
     if (draw(3) > 0) {
-      files.lose_power_after(draw(draw(1) == 0 ? kMostChanges : kMostChanges / 10));
+      files.lose_power_after(draw(draw(1) == 0 ? kMaxChanges : kMaxChanges / 10));
     }
     {
       auto opened = RocksDbStorage::open(kFolder, tests::inline_executors(), &files, kSmallBuffer);
@@ -121,7 +121,7 @@
   }
 
   void write(RocksDbStorage& storage, lossy_files& files) {
-    const std::uint64_t steps = draw(kMostSteps);
+    const std::uint64_t steps = draw(kMaxSteps);
     const std::uint64_t flush_every = 1 + draw(20);
     for (std::uint64_t step = 0; step < steps && !files.has_lost_power(); ++step) {
       if (draw(flush_every) == 0) {
@@ -134,7 +134,7 @@
 
   void put(RocksDbStorage& storage, unsigned number) {
     const std::uint64_t version = ++records_.at(number).put;
-    wire::Bytes value(sizeof version + draw(kMostValueBytes), static_cast<std::uint8_t>(version));
+    wire::Bytes value(sizeof version + draw(kMaxValueBytes), static_cast<std::uint8_t>(version));
     for (std::size_t index = 0; index < sizeof version; ++index) {
       value[index] = static_cast<std::uint8_t>(version >> (8 * index));
     }
@@ -173,7 +173,7 @@
   REQUIRE(succeeded(opened));
   unsigned confirmed = 0;
   for (unsigned number = 0; number < kRecords; ++number) {
-    value_of(opened)->put(record_of_run(number), wire::Bytes(kMostValueBytes, 1));
+    value_of(opened)->put(record_of_run(number), wire::Bytes(kMaxValueBytes, 1));
     tests::flush(*value_of(opened));
     confirmed += files.has_lost_power() ? 0 : 1;
   }
@@ -214,10 +214,10 @@
 // Guards against nodes that fail at each start with "checksum mismatch in file MANIFEST" after a power loss between the
 // write of a table change and its sync.
 TEST_CASE("a disk opens after a power loss that tears any write of its database") {
-  constexpr std::size_t kMostChangesOfRun = 150;
+  constexpr std::size_t kMaxChangesOfRun = 150;
   constexpr unsigned kTearings = 4;
   std::vector<std::string> faults;
-  for (std::size_t changes = 0; changes < kMostChangesOfRun; ++changes) {
+  for (std::size_t changes = 0; changes < kMaxChangesOfRun; ++changes) {
     for (unsigned tearing = 0; tearing < kTearings; ++tearing) {
       lossy_files files(empty_disk(), changes * kTearings + tearing);
       files.set_kept({1, 1, 1});
@@ -235,7 +235,7 @@
 }
 
 TEST_CASE("a database that changes its tables often keeps few manifests") {
-  constexpr std::size_t kMostManifests = 3;  ///< The current one and those not removed yet.
+  constexpr std::size_t kMaxManifests = 3;  ///< The current one and those not removed yet.
   lossy_files files(empty_disk(), 0);
   confirm_records(files);
   std::vector<std::string> names;
@@ -243,5 +243,5 @@
   const auto manifests =
       std::count_if(names.begin(), names.end(), [](const std::string& name) { return name.starts_with("MANIFEST"); });
   CHECK(manifests >= 1);
-  CHECK(manifests <= static_cast<std::ptrdiff_t>(kMostManifests));
+  CHECK(manifests <= static_cast<std::ptrdiff_t>(kMaxManifests));
 }
