--- a/tests/ledger/epoch_model_test.cpp
+++ b/tests/ledger/epoch_model_test.cpp
@@ -243,7 +243,7 @@
     scope.coarse = true;
     rules.members_tell_epoch = false;
   }
-  SECTION("a disk is removed while a record is on only one other disk") {
+  SECTION("a disk is taken away that leaves a record on one other") {
     scope = draining_scope();
     scope.replace_unresponsive = true;
     scope.coarse = true;
--- a/tests/ledger/group_epochs_test.cpp
+++ b/tests/ledger/group_epochs_test.cpp
@@ -287,7 +287,7 @@
 
 // Guards against results lost for good: a disk was drained and removed while its group had one other member, whose disk
 // was lost next.
-TEST_CASE("a draining disk stays until enough others hold everything to tolerate the configured losses") {
+TEST_CASE("a disk that is emptied stays until as many others hold everything as the losses ask for") {
   Fixture fixture;
   fixture.replica->adopt_group(0, {1, {kA, kB, kC}, {}});
   fixture.replica->adopt_group(0, {2, {kB, kC}, {kA}});
