--- a/tests/ledger/epoch_model.cpp
+++ b/tests/ledger/epoch_model.cpp
@@ -42,7 +42,7 @@
   std::uint8_t epoch = 0;      ///< The latest epoch stored on its disk.
   bool voted = false;          ///< Its disk was admitted in some epoch.
   bool returning = false;      ///< Its disk has to copy again before it votes.
-  bool dropped = false;        ///< This process knows that it is no member any more.
+  bool dropped = false;        ///< This process knows that it is no longer a member.
   bool holds_leaving = false;  ///< Its disk holds all records of the members that leave in its epoch.
   bool full = false;           ///< Its disk has copied all records that it lacked when its epoch began.
   node_set copied = 0;         ///< Sources that this process has copied from in this epoch.
@@ -51,7 +51,7 @@
   bool whole = false;          ///< Its disk holds every record confirmed before its epoch.
   bool whole_before = false;   ///< It was whole in an earlier epoch of the same members.
   bool whole_last = false;     ///< It was whole in the epoch before this one.
-  bool followed = false;       ///< Its disk has seen the epoch before this one.
+  bool followed = false;       ///< Its disk adopted the epoch before this one.
   /// The epoch of the consent stored on its disk; 0: no consent, or one for an epoch that it knows to be over.
   std::uint8_t consented_epoch = 0;
   auto operator<=>(const machine&) const = default;
--- a/tests/ledger/epoch_model.hpp
+++ b/tests/ledger/epoch_model.hpp
@@ -37,7 +37,7 @@
   /// A disk that joins copies what leaving members held, from them or from a member that has copied it.
   bool wait_for_leaving = true;
   bool members_tell_epoch = true;  ///< Members that start report the latest epoch stored on their disks.
-  /// Members vote on the next epoch whatever they hold, where one of them is whole.
+  /// Members vote on the next epoch whatever records they hold, provided that one of them is whole.
   bool whole_members_decide = true;
   /// The deciding members hold every confirmed record, together or in one of them.
   bool decide_only_with_all_records = true;
@@ -68,8 +68,8 @@
   unsigned further = 0;    ///< Machines with a disk that holds no record of the group at first.
   unsigned spares = 0;     ///< Machines that start when another one is gone.
   unsigned tolerated = 1;  ///< Disks that may be lost before everything has been copied again.
-  unsigned faults = 3;     ///< In one path.
-  unsigned writes = 1;     ///< Records confirmed in one path.
+  unsigned faults = 3;     ///< Most faults in one path.
+  unsigned writes = 1;     ///< Most records confirmed in one path.
   bool retirements = false;
   /// Machines that hold no record of the group are drained, too, and leave at once.
   bool others_drained = false;
--- a/tests/ledger/epoch_model_test.cpp
+++ b/tests/ledger/epoch_model_test.cpp
@@ -174,7 +174,7 @@
   scope.writes = 1;
   model_rules rules;
   SECTION("as it is") {}
-  SECTION("leaving members are free disks to whom proposes") { rules.leaving_are_no_substitutes = false; }
+  SECTION("leaving members count as free disks for the proposer") { rules.leaving_are_no_substitutes = false; }
   check_holds(scope, rules);
 }
 
@@ -192,7 +192,7 @@
   scope.faults = 3;
   model_rules rules;
   SECTION("as it is") {}
-  SECTION("leaving members are free disks to whom proposes") { rules.leaving_are_no_substitutes = false; }
+  SECTION("leaving members count as free disks for the proposer") { rules.leaving_are_no_substitutes = false; }
   check_holds(scope, rules);
 }
 
--- a/tests/ledger/group_health_test.cpp
+++ b/tests/ledger/group_health_test.cpp
@@ -153,7 +153,7 @@
   CHECK(node.state_of(2) == member_state::counts);
 }
 
-TEST_CASE("a member with a new disk counts once it says that it is admitted") {
+TEST_CASE("a member with a new disk counts once it reports that it is admitted") {
   fixture node(true);
   node.replace_c();
   node.set(kB, wire::MemberState::Dead);
@@ -166,12 +166,12 @@
   node.say(kNewC, 2, wire::ReplicaStanding::Admitted);
   node.run_for(1s);
   CHECK(node.log.count("group_majority_regained") == 1);
-  node.adopt({3, {kA, kNewC, kB}, {}});  // a disk that stays is still admitted
+  node.adopt({3, {kA, kNewC, kB}, {}});  // a remaining disk is still admitted
   node.run_for(1s);
   CHECK(node.state_of(1) == member_state::counts);
 }
 
-TEST_CASE("a member that does not know the epoch, or says nothing at all, does not count") {
+TEST_CASE("a member that does not know the epoch, or does not answer, does not count") {
   fixture node(true);
   node.replace_c();
   node.run_for(1s);
--- a/tests/ledger/hanging_disk_test.cpp
+++ b/tests/ledger/hanging_disk_test.cpp
@@ -40,7 +40,7 @@
     files_.calls().release(held_call::write);
     background_.join();
   }
-  /// Puts @p number and asks for a sync.
+  /// Writes record @p number and requests a sync.
   void write(std::uint8_t number) {
     storage_->put(key_of(number), {number});
     storage_->flush([this](const Status& status) { (succeeded(status) ? confirmed_ : failed_)++; });
--- a/tests/ledger/refused_writes_test.cpp
+++ b/tests/ledger/refused_writes_test.cpp
@@ -158,7 +158,7 @@
   }
 }
 
-TEST_CASE("a disk whose writes the kernel refuses does not end the process, and is used again") {
+TEST_CASE("a disk whose writes the kernel refuses does not terminate the process, and is used again") {
   const tests::TemporaryDisk place;
   const std::string folder = (place.path() / "disk").string();
   const std::string log = (place.path() / "log").string();
--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -31,7 +31,7 @@
     SimStorage::put_together(entries);
   }
   unsigned flushes = 0;
-  std::vector<std::string> last_together;  ///< Keys of the last entries that were put together.
+  std::vector<std::string> last_together;  ///< Keys of the last put_together() call.
 };
 
 /// One replica with a disk.
@@ -439,7 +439,7 @@
 // request, and 47.6 MB were transferred instead of 20.1 MB.
 namespace {
 
-/// Two groups that this replica copies from b alone.
+/// Two groups whose only copy source for this replica is b.
 struct two_groups_of_a_pair {
   two_groups_of_a_pair() {
     ReplicaGroup group{2, {{NodeId("a"), DiskId("disk-new")}, {NodeId("b"), DiskId("disk-b")}}, {}};
--- a/tests/ledger/scan_test.cpp
+++ b/tests/ledger/scan_test.cpp
@@ -92,7 +92,7 @@
     fixture.reply(1, {2, 1}, {6});
     fixture.reply(2, {3, 1}, {7});
   }
-  SECTION("the nearest replica has one that nobody else has") {
+  SECTION("the nearest replica has one that no other replica has") {
     fixture.reply(1, {3, 1}, {7});
     fixture.reply(2, {2, 1}, {6});
   }
