--- a/tests/ledger/group_health_test.cpp
+++ b/tests/ledger/group_health_test.cpp
@@ -70,7 +70,8 @@
     adopt({2, {kA, kB, kNewC}, {}});
   }
   /// @p member reports its standing, as in its reply to a status request.
-  void say(const ReplicaIdentity& member, std::uint64_t epoch, wire::ReplicaStanding standing, bool complete = false) {
+  void report_standing(const ReplicaIdentity& member, std::uint64_t epoch, wire::ReplicaStanding standing,
+                       bool complete = false) {
     wire::CopyStatusT status;
     status.epoch = epoch;
     status.standing = standing;
@@ -147,7 +148,7 @@
       CHECK(message.body.AsCopyStatusRequest()->epoch == 2);
     }
   }
-  node.say(kNewC, 2, wire::ReplicaStanding::Admitted);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::Admitted);
   node.run_for(60s);
   CHECK(node.questions() == 1);
   CHECK(node.state_of(2) == member_state::counts);
@@ -158,12 +159,12 @@
   node.replace_c();
   node.set(kB, wire::MemberState::Dead);
   node.run_for(1s);
-  node.say(kNewC, 2, wire::ReplicaStanding::Copying);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::Copying);
   CHECK(node.state_of(2) == member_state::not_admitted);
   node.run_for(4s);
   CHECK(node.log.count("group_majority_lost") == 1);
   CHECK(node.log.lines.back().find("c/disk-c2 not_admitted") != std::string::npos);
-  node.say(kNewC, 2, wire::ReplicaStanding::Admitted);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::Admitted);
   node.run_for(1s);
   CHECK(node.log.count("group_majority_regained") == 1);
   node.adopt({3, {kA, kNewC, kB}, {}});  // a remaining disk is still admitted
@@ -175,12 +176,12 @@
   fixture node(true);
   node.replace_c();
   node.run_for(1s);
-  node.say(kNewC, 0, wire::ReplicaStanding::UnknownEpoch);
+  node.report_standing(kNewC, 0, wire::ReplicaStanding::UnknownEpoch);
   CHECK(node.state_of(2) == member_state::unknown_epoch);
   // A version that reports only whether it has copied everything may vote before it has.
-  node.say(kNewC, 2, wire::ReplicaStanding::NotSaid);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::NotSaid);
   CHECK(node.state_of(2) == member_state::counts);
-  node.say(kNewC, 2, wire::ReplicaStanding::NotSaid, true);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::NotSaid, true);
   CHECK(node.state_of(2) == member_state::counts);
 
   fixture unanswered(true);
@@ -228,10 +229,10 @@
   CHECK(node.state_of(1) == member_state::not_admitted);
   node.run_for(6s);
   CHECK(node.state_of(1) == member_state::silent);  // sent requests since, without a reply
-  node.say(kB, 1, wire::ReplicaStanding::Copying);
+  node.report_standing(kB, 1, wire::ReplicaStanding::Copying);
   node.run_for(30s);
   CHECK(node.state_of(1) == member_state::not_admitted);
-  node.say(kB, 1, wire::ReplicaStanding::Admitted);
+  node.report_standing(kB, 1, wire::ReplicaStanding::Admitted);
   CHECK(node.state_of(1) == member_state::counts);
 }
 
@@ -241,11 +242,11 @@
   node.replace_c();
   node.run_for(1s);
   CHECK(node.state_of(2) != member_state::counts);
-  node.say(kNewC, 2, wire::ReplicaStanding::Copying);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::Copying);
   node.set(kB, wire::MemberState::Dead);
   node.run_for(4s);
   CHECK(node.log.count("group_majority_lost") == 1);
-  node.say(kNewC, 2, wire::ReplicaStanding::Admitted);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::Admitted);
   node.run_for(1s);
   CHECK(node.log.count("group_majority_regained") == 1);
   CHECK(node.state_of(2) == member_state::counts);
@@ -255,8 +256,8 @@
 // epoch named, and a gateway at once logged the majority as regained and the empty disk as admitted.
 TEST_CASE("a majority is not regained by a new disk that has not been reported as admitted") {
   fixture node(false, {3, {kC, kA}, {}});
-  node.say(kA, 3, wire::ReplicaStanding::Admitted);
-  node.say(kC, 3, wire::ReplicaStanding::Admitted);
+  node.report_standing(kA, 3, wire::ReplicaStanding::Admitted);
+  node.report_standing(kC, 3, wire::ReplicaStanding::Admitted);
   node.set(kC, wire::MemberState::Dead);
   node.run_for(4s);
   REQUIRE(node.log.count("group_majority_lost") == 1);
@@ -265,10 +266,10 @@
   node.adopt({5, {kA, kNewC}, {}});
   node.run_for(2s);
   CHECK(node.log.count("group_majority_regained") == 0);
-  node.say(kNewC, 5, wire::ReplicaStanding::Copying);
+  node.report_standing(kNewC, 5, wire::ReplicaStanding::Copying);
   node.run_for(5s);
   CHECK(node.log.count("group_majority_regained") == 0);
-  node.say(kNewC, 5, wire::ReplicaStanding::Admitted);
+  node.report_standing(kNewC, 5, wire::ReplicaStanding::Admitted);
   node.run_for(1s);
   CHECK(node.log.count("group_majority_regained") == 1);
 }
@@ -314,7 +315,7 @@
   CHECK(node.questions() <= 7);
   CHECK(node.state_of(0) != member_state::counts);
   for (const ReplicaIdentity& member : {kA, kB, kC}) {
-    node.say(member, 5, wire::ReplicaStanding::Admitted);
+    node.report_standing(member, 5, wire::ReplicaStanding::Admitted);
   }
   const std::size_t asked = node.questions();
   node.run_for(60s);
@@ -404,7 +405,7 @@
   node.replace_c();
   node.run_for(1s);
   CHECK(node.health->explain(0, node.health->view(0).members.at(2)) == "no word yet");
-  node.say(kNewC, 2, wire::ReplicaStanding::Copying);
+  node.report_standing(kNewC, 2, wire::ReplicaStanding::Copying);
   CHECK(node.health->explain(0, node.health->view(0).members.at(2)) == "its own word");
   node.members[kC.node].disk_id = "disk-c3";
   CHECK(node.health->explain(0, node.health->view(0).members.at(2)) == "its node runs with disk-c3");
--- a/tests/ledger/refused_writes_test.cpp
+++ b/tests/ledger/refused_writes_test.cpp
@@ -132,7 +132,7 @@
   REQUIRE(writer.write(batch));
   for (unsigned round = 0; round < kRounds; ++round) {
     std::set<unsigned> confirmed;
-    std::thread striker([&] {
+    std::thread fault_thread([&] {
       std::this_thread::sleep_for(100ms);
       CHECK(succeeded(bench::refuse_writes(0, true)));
       std::this_thread::sleep_for(700ms);
@@ -150,7 +150,7 @@
         std::this_thread::sleep_for(20ms);
       }
     }
-    striker.join();
+    fault_thread.join();
     CHECK(regained);
     for (const unsigned one : confirmed) {
       CHECK(writer.holds(one));
@@ -158,7 +158,7 @@
   }
 }
 
-TEST_CASE("a disk whose writes the kernel refuses does not terminate the process, and is used again") {
+TEST_CASE("a disk whose writes the kernel refuses does not end the process, and is used again") {
   const tests::TemporaryDisk place;
   const std::string folder = (place.path() / "disk").string();
   const std::string log = (place.path() / "log").string();
@@ -170,8 +170,8 @@
     std::this_thread::sleep_for(20ms);
   }
   std::ifstream lines(log);
-  const std::string said{std::istreambuf_iterator<char>(lines), {}};
-  INFO(said);
+  const std::string output{std::istreambuf_iterator<char>(lines), {}};
+  INFO(output);
   CHECK_FALSE(process.running());
   CHECK(process.exit_code() == 0);
 }
--- a/tests/ledger/rocksdb_power_loss_test.cpp
+++ b/tests/ledger/rocksdb_power_loss_test.cpp
@@ -155,7 +155,7 @@
   CHECK(std::all_of(found.begin(), found.begin() + kSyncedRecords, [](bool there) { return there; }));
 }
 
-void check_no_later_one_without_an_earlier_one(const std::vector<bool>& found) {
+void check_is_prefix(const std::vector<bool>& found) {
   CHECK(std::is_partitioned(found.begin(), found.end(), [](bool there) { return there; }));
 }
 
@@ -175,7 +175,7 @@
     INFO("cut at " << cut << " of " << log.size() << ", synced up to " << disk.synced_bytes());
     const std::vector<bool> found = disk.open_with(log.substr(0, cut));
     check_synced(found);
-    check_no_later_one_without_an_earlier_one(found);
+    check_is_prefix(found);
   }
 }
 
@@ -187,7 +187,7 @@
     std::fill(log.begin() + record.begin, log.begin() + record.end, '\0');
     const std::vector<bool> found = disk.open_with(log);
     check_synced(found);
-    check_no_later_one_without_an_earlier_one(found);
+    check_is_prefix(found);
   }
 }
 
@@ -203,7 +203,7 @@
     for (const std::string& log : {first_half, second_half}) {
       const std::vector<bool> found = disk.open_with(log);
       check_synced(found);
-      check_no_later_one_without_an_earlier_one(found);
+      check_is_prefix(found);
     }
   }
 }
@@ -265,9 +265,9 @@
 namespace {
 
 /// A file system that delays the creation of the database's tables until release().
-class HeldTables : public rocksdb::EnvWrapper {
+class DelayedTables : public rocksdb::EnvWrapper {
  public:
-  HeldTables() : EnvWrapper(rocksdb::Env::Default()) {}
+  DelayedTables() : EnvWrapper(rocksdb::Env::Default()) {}
   rocksdb::Status NewWritableFile(const std::string& name, std::unique_ptr<rocksdb::WritableFile>* file,
                                   const rocksdb::EnvOptions& options) override {
     if (name.ends_with(".sst")) {
@@ -311,7 +311,7 @@
 
   DiskOfTwoLogs() {
     identity_ = original_.open(1).identity;
-    HeldTables files;
+    DelayedTables files;
     auto opened = RocksDbStorage::open(original_.path().string(), tests::inline_executors(), &files);
     REQUIRE(succeeded(opened));
     files.hold();
@@ -381,8 +381,8 @@
   const std::vector<std::size_t> borders = disk.borders();
   REQUIRE(borders.size() > 2);
   for (const std::size_t border : {borders.front(), borders[borders.size() / 2], borders.back()}) {
-    check_no_later_one_without_an_earlier_one(disk.open_with(border - 1));
-    check_no_later_one_without_an_earlier_one(disk.open_with(border - DiskOfTwoLogs::kRecordBytes / 2));
+    check_is_prefix(disk.open_with(border - 1));
+    check_is_prefix(disk.open_with(border - DiskOfTwoLogs::kRecordBytes / 2));
   }
 }
 
--- a/tests/ledger/rocksdb_power_schedules_test.cpp
+++ b/tests/ledger/rocksdb_power_schedules_test.cpp
@@ -45,7 +45,7 @@
   void run() {
     for (unsigned loss = 0; loss < kLosses; ++loss) {
       INFO("seed " << seed_ << ", start " << loss);
-      live_until_loss();
+      run_until_power_loss();
     }
   }
 
@@ -61,7 +61,7 @@
   /// @return the key of the entry that is written together with a record.
   static std::string pair_of(unsigned number) { return "b/" + std::to_string(number); }
 
-  void live_until_loss() {
+  void run_until_power_loss() {
     lossy_files files(names_, random_());
     if (draw(3) > 0) {
       files.lose_power_after(draw(draw(1) == 0 ? kMaxChanges : kMaxChanges / 10));
--- a/tests/ledger/rocksdb_storage_test.cpp
+++ b/tests/ledger/rocksdb_storage_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 /// Queues the storage's background tasks until the test runs them.
-class HeldTasks {
+class QueuedTasks {
  public:
   Executors executors() {
     return {[this](std::function<void()> task) { tasks_.push_back(std::move(task)); },
@@ -126,7 +126,7 @@
   }
   TemporaryDisk folder;
   RefusingFiles files;
-  HeldTasks tasks;
+  QueuedTasks tasks;
   std::unique_ptr<RocksDbStorage> storage;
   unsigned flushed = 0;
   unsigned failed = 0;
