--- a/tests/ledger/decision_votes_test.cpp
+++ b/tests/ledger/decision_votes_test.cpp
@@ -1,4 +1,4 @@
-/// Who granted a group's next epoch, who refused it, and on what ground.
+/// The votes on a group's next epoch: which members granted it, which refused it, and the refusal reasons.
 #include <catch2/catch.hpp>
 
 #include "ledger/client.hpp"
@@ -25,8 +25,8 @@
   bool whole = true;
 };
 
-/// What a proposer of the next epoch was told.
-struct told {
+/// The votes and the result that a proposer of the next epoch received.
+struct decision_report {
   std::optional<decision_votes> votes;
   std::optional<Result<ReplicaGroup>> result;
   unsigned calls = 0;
@@ -35,23 +35,23 @@
   }
 };
 
-/// @return what is told of a decision where the members answer so; who is not named stays silent.
-told decide(const std::map<std::string, member_answer>& answers, const EpochRule& rule = {}) {
+/// @return the report on a decision where members answer as in @p answers; members not in it do not answer.
+decision_report decide(const std::map<std::string, member_answer>& answers, const EpochRule& rule = {}) {
   const std::vector<ReplicaIdentity> members{kA, kB, kC};
   TestEnvironment environment;
   Counters counters;
   Client client{environment, counters, [](const NodeId& node) { return std::optional(PeerAddress(node.str())); }};
   client.on_group_map({{ReplicaGroup{3, members, {}}}});
-  told told;
-  client.on_decision = [&told](std::uint32_t group, const decision_votes& votes) {
+  decision_report report;
+  client.on_decision = [&report](std::uint32_t group, const decision_votes& votes) {
     CHECK(group == 0);
-    CHECK_FALSE(told.result);
-    told.votes = votes;
-    ++told.calls;
+    CHECK_FALSE(report.result);
+    report.votes = votes;
+    ++report.calls;
   };
   client.decide_next(0, {4, {kA, kB}, {kC}}, rule,
-                     [&told](const Result<ReplicaGroup>& result) { told.result = result; });
-  for (int step = 0; step < 60 && !told.result; ++step) {
+                     [&report](const Result<ReplicaGroup>& result) { report.result = result; });
+  for (int step = 0; step < 60 && !report.result; ++step) {
     for (const auto& message : std::exchange(environment.sent, {})) {
       const auto answer = answers.find(message.to.str());
       if (answer == answers.end()) {
@@ -80,19 +80,20 @@
     }
     environment.world.run_for(100ms);
   }
-  REQUIRE(told.result);
-  return told;
+  REQUIRE(report.result);
+  return report;
 }
 
 }  // namespace
 
-TEST_CASE("the ground of a refused epoch is the one of most members that refused it") {
+TEST_CASE("the refusal reason of an epoch is that of most members that refused it") {
   constexpr auto kNone = refusal_ground::none;
   constexpr auto kSilent = refusal_ground::silent;
   constexpr auto kCopies = refusal_ground::not_admitted;
   CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kCopies)) == kCopies);
   CHECK(ground_of(kUnavailable, votes_of(kSilent, kCopies, kCopies)) == kCopies);
-  CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kSilent)) == kSilent);  // as many: the first in order
+  CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kSilent)) ==
+        kSilent);  // a tie: the first in the order of reasons
   CHECK(ground_of(kUnavailable, votes_of(kNone, kNone, kSilent)) == refusal_ground::not_whole);
   CHECK(ground_of(kUnavailable, {}) == refusal_ground::other);
   const Error conflict{ErrorKind::conflict, ""};
@@ -102,7 +103,7 @@
         refusal_ground::given_up_answers);
 }
 
-TEST_CASE("the answer of a member that does not count is told and is no ground") {
+TEST_CASE("the answer of a member that does not count is reported but is no refusal reason") {
   decision_votes votes = votes_of(refusal_ground::none, refusal_ground::silent, refusal_ground::silent);
   votes.needed = 1;
   votes.members[0].counts = false;
@@ -113,7 +114,7 @@
   CHECK(votes.refused_text() == "b/disk-b silent (does not count), c/disk-c not_admitted");
 }
 
-TEST_CASE("each ground has a name of its own") {
+TEST_CASE("each refusal reason has a unique name") {
   std::set<std::string> names;
   for (const refusal_ground ground : kRefusalGrounds) {
     names.insert(name_of(ground));
@@ -121,38 +122,38 @@
   CHECK(names.size() == kRefusalGrounds.size());
 }
 
-TEST_CASE("a proposer is told once who granted a decided epoch and who did not") {
-  const told told = decide({{"a", {}}, {"b", {}}});
-  CHECK(told.calls == 1);
-  CHECK(succeeded(*told.result));
-  CHECK(told.ground() == refusal_ground::none);
-  CHECK(told.votes->granted_text() == "a/disk-a, b/disk-b");
-  CHECK(told.votes->refused_text() == "c/disk-c silent");
+TEST_CASE("a proposer receives one report of the members that granted a decided epoch and those that did not") {
+  const decision_report report = decide({{"a", {}}, {"b", {}}});
+  CHECK(report.calls == 1);
+  CHECK(succeeded(*report.result));
+  CHECK(report.ground() == refusal_ground::none);
+  CHECK(report.votes->granted_text() == "a/disk-a, b/disk-b");
+  CHECK(report.votes->refused_text() == "c/disk-c silent");
 }
 
-TEST_CASE("a proposer is told who refused an epoch and on what ground") {
-  const told copies =
+TEST_CASE("a proposer receives the members that refused an epoch and their reasons") {
+  const decision_report copies =
       decide({{"a", {}}, {"b", {wire::ReplicaStatus::NotReady}}, {"c", {wire::ReplicaStatus::NotReady}}});
   CHECK(copies.calls == 1);
   CHECK(copies.ground() == refusal_ground::not_admitted);
   CHECK(copies.votes->granted_text() == "a/disk-a");
   CHECK(copies.votes->refused_text() == "b/disk-b not_admitted, c/disk-c not_admitted");
 
-  const told silent = decide({{"a", {}}});
+  const decision_report silent = decide({{"a", {}}});
   CHECK(silent.ground() == refusal_ground::silent);
   CHECK(silent.votes->refused_text() == "b/disk-b silent, c/disk-c silent");
 
-  const told lacking =
+  const decision_report lacking =
       decide({{"a", {wire::ReplicaStatus::Granted, false}}, {"b", {wire::ReplicaStatus::Granted, false}}});
   CHECK(lacking.ground() == refusal_ground::not_whole);
   CHECK(lacking.votes->granted_text() == "a/disk-a not_whole, b/disk-b not_whole");
   CHECK(error_of(*lacking.result).detail.find("those that granted may lack confirmed records") != std::string::npos);
 }
 
-TEST_CASE("a proposer is told that the member to be given up has answered") {
+TEST_CASE("a proposer receives a report that the member to be given up has answered") {
   EpochRule rule;
   rule.given_up = kC;
-  const told told = decide({{"c", {}}}, rule);
-  CHECK(told.ground() == refusal_ground::given_up_answers);
-  CHECK(told.votes->refused_text() == "a/disk-a silent, b/disk-b silent, c/disk-c given_up_answers");
+  const decision_report report = decide({{"c", {}}}, rule);
+  CHECK(report.ground() == refusal_ground::given_up_answers);
+  CHECK(report.votes->refused_text() == "a/disk-a silent, b/disk-b silent, c/disk-c given_up_answers");
 }
--- a/tests/ledger/epoch_model_test.cpp
+++ b/tests/ledger/epoch_model_test.cpp
@@ -1,11 +1,10 @@
-/// Every state that a few faults can bring a replica group into is looked at: disks lost one after the other, processes
-/// that are silent and come back, losses of power, a disk that is to be emptied, the store away, at any moment of
-/// deciding, adopting and copying, within what the group is made for (as many disks at once as it tolerates, until
-/// everything has been copied again). In none of them a confirmed record is out of sight of a majority that answers,
-/// two descriptions of one epoch stand, or, once all are back, the group is left without a majority of admitted members
-/// or with a place that stays empty; no epoch names a disk that was emptied and taken away, also where a maintainer
-/// proposes it that believes the fleet to be as it was. A model without one of its rules breaks a promise, so the
-/// search would see it.
+/// Visits every state of the epoch model that a few faults can lead to: disks lost one after the other, processes that
+/// become unresponsive and return, power losses, a draining disk, and an unavailable store, at any point of deciding,
+/// adopting and copying. Disk losses stay within the group's tolerance: as many disks at once as it tolerates, until
+/// all records have been copied again. In no state does a majority that answers lack a confirmed record, or an epoch
+/// have two descriptions. Once all are back, the group has a majority of admitted members and no place stays empty. No
+/// epoch names a disk that was drained and removed, even if a maintainer with an outdated view proposes it. A model
+/// without one of its rules violates an invariant, which shows that the search detects it.
 #include "ledger/epoch_model.hpp"
 
 #include <catch2/catch.hpp>
@@ -25,21 +24,21 @@
   CHECK(result.complete);
 }
 
-void check_noticed(const model_scope& scope, const model_rules& rules) {
+void check_violated(const model_scope& scope, const model_rules& rules) {
   const model_result result = search(scope, rules);
   INFO(result.states << " states");
   CHECK_FALSE(result.violation.empty());
 }
 
-model_scope emptied_scope() {
+model_scope draining_scope() {
   model_scope scope;
   scope.retirements = true;
-  scope.silent_replaced = false;
+  scope.replace_unresponsive = false;
   return scope;
 }
 
-/// Members that are silent for long, whose place a fourth disk takes; no disk is lost.
-model_scope silence_scope() {
+/// Members are unresponsive for a long time and a fourth disk takes their place; no disk is lost.
+model_scope unresponsive_scope() {
   model_scope scope;
   scope.further = 1;
   scope.tolerated = 0;
@@ -47,10 +46,10 @@
   return scope;
 }
 
-/// Disks of members and of others are emptied while a maintainer that has not heard of it proposes epochs.
-model_scope unheard_scope() {
-  model_scope scope = emptied_scope();
-  scope.others_emptied = true;
+/// Disks of members and of other machines are drained while a maintainer that missed this proposes epochs.
+model_scope outdated_view_scope() {
+  model_scope scope = draining_scope();
+  scope.others_drained = true;
   scope.earlier_views = earlier_view::of_single_changes;
   scope.faults = 2;
   scope.writes = 0;
@@ -75,13 +74,13 @@
 }
 
 TEST_CASE("epochs of three disks, one of which is to be emptied, two faults") {
-  model_scope scope = emptied_scope();
+  model_scope scope = draining_scope();
   scope.faults = 2;
   check_holds(scope);
 }
 
 TEST_CASE("epochs of three disks, one of which is to be emptied, the store away, three faults") {
-  model_scope scope = emptied_scope();
+  model_scope scope = draining_scope();
   scope.store_away = true;
   scope.coarse = true;
   check_holds(scope);
@@ -97,16 +96,16 @@
   check_holds(scope);
 }
 
-// As of a machine that is told to stop while its successor is there.
+// Covers a machine that is asked to stop while its successor is already running.
 TEST_CASE("epochs of three disks with a fourth at hand, one of which is to be emptied, two faults") {
-  model_scope scope = emptied_scope();
+  model_scope scope = draining_scope();
   scope.further = 1;
   scope.faults = 2;
   scope.coarse = true;
   check_holds(scope);
 }
 
-// Too long for every run: by hand, "[long]".
+// Hidden because it takes too long for every run; run it with "[long]".
 TEST_CASE("epochs of five disks, two of which may be lost, three faults", "[.][long]") {
   model_scope scope;
   scope.disks = 5;
@@ -117,13 +116,13 @@
   SECTION("one to be emptied, two faults") {
     scope.faults = 2;
     scope.retirements = true;
-    scope.silent_replaced = false;
+    scope.replace_unresponsive = false;
   }
   check_holds(scope);
 }
 
 TEST_CASE("epochs of three disks, one of which is to be emptied, three faults and a record", "[.][long]") {
-  check_holds(emptied_scope());
+  check_holds(draining_scope());
 }
 
 TEST_CASE("epochs of three disks on machines that others take the place of, three faults and a record", "[.][long]") {
@@ -132,9 +131,10 @@
   check_holds(scope);
 }
 
-TEST_CASE("epochs of three disks with a fourth at hand, none lost, three faults") { check_holds(silence_scope()); }
+TEST_CASE("epochs of three disks with a fourth at hand, none lost, three faults") { check_holds(unresponsive_scope()); }
 
-// The silent member's place is taken by another disk at once, and one of the others is lost before that one has copied.
+// Another disk takes the unresponsive member's place at once, and another member is lost before the new disk has
+// copied.
 TEST_CASE("epochs of three disks with a fourth at hand, two faults") {
   model_scope scope;
   scope.further = 1;
@@ -142,7 +142,7 @@
   check_holds(scope);
 }
 
-TEST_CASE("epochs of three disks with a fourth at hand, two faults, decisions heard by all that are up") {
+TEST_CASE("epochs of three disks with a fourth at hand, two faults, all running processes learn of decisions at once") {
   model_scope scope;
   scope.further = 1;
   scope.faults = 2;
@@ -150,70 +150,71 @@
   check_holds(scope);
 }
 
-// One of three has been emptied; of the two that are left one falls silent and the store lets the other decide alone.
-// What that one confirms stands nowhere else until the silent one has copied it.
+// One of three disks has been drained; one of the remaining two becomes unresponsive, and the store names the other one
+// sole decider. What that one confirms is on no other disk until the unresponsive one has copied it.
 TEST_CASE("epochs of three disks, one of which is to be emptied, silent ones taken for gone, three faults") {
-  model_scope scope = emptied_scope();
-  scope.silent_replaced = true;
+  model_scope scope = draining_scope();
+  scope.replace_unresponsive = true;
   check_holds(scope);
 }
 
-// A new machine takes the place of one that was emptied, and one of the other two is lost before it has copied.
+// A new machine takes the place of a drained one, and one of the other two is lost before the new one has copied.
 TEST_CASE("epochs of three disks, one of which is emptied and replaced by a new machine, two faults") {
-  model_scope scope = emptied_scope();
+  model_scope scope = draining_scope();
   scope.spares = 1;
   scope.faults = 2;
   scope.writes = 0;
   check_holds(scope);
 }
 
-// A maintainer that was frozen or cut off names a disk that was emptied meanwhile, and another one is lost.
-TEST_CASE("epochs of three disks that one proposes who missed changes, two faults and a record") {
-  model_scope scope = unheard_scope();
-  scope.silent_replaced = true;
+// A maintainer that was suspended or disconnected names a disk that was drained meanwhile, and another disk is lost.
+TEST_CASE("epochs of three disks, proposed by a maintainer that missed changes, two faults and a record") {
+  model_scope scope = outdated_view_scope();
+  scope.replace_unresponsive = true;
   scope.writes = 1;
   model_rules rules;
   SECTION("as it is") {}
-  SECTION("leaving members are free disks to whom proposes") { rules.leaving_are_no_substitutes = false; }
+  SECTION("leaving members count as free disks for the proposer") { rules.leaving_are_no_substitutes = false; }
   check_holds(scope, rules);
 }
 
-TEST_CASE("epochs of three disks that one proposes who missed changes, decisions heard one by one, two faults") {
-  model_scope scope = unheard_scope();
+TEST_CASE(
+    "epochs of three disks, proposed by a maintainer that missed changes, decisions learned one by one, two faults") {
+  model_scope scope = outdated_view_scope();
   scope.earlier_views = earlier_view::of_one_moment;
   scope.coarse = false;
   check_holds(scope);
 }
 
-TEST_CASE("epochs of three disks that one proposes who missed changes, three faults") {
-  model_scope scope = unheard_scope();
+TEST_CASE("epochs of three disks, proposed by a maintainer that missed changes, three faults") {
+  model_scope scope = outdated_view_scope();
   scope.earlier_views = earlier_view::of_one_moment;
   scope.faults = 3;
   model_rules rules;
   SECTION("as it is") {}
-  SECTION("leaving members are free disks to whom proposes") { rules.leaving_are_no_substitutes = false; }
+  SECTION("leaving members count as free disks for the proposer") { rules.leaving_are_no_substitutes = false; }
   check_holds(scope, rules);
 }
 
-TEST_CASE("epochs of three disks with a fourth at hand that one proposes who missed changes, two faults") {
-  model_scope scope = unheard_scope();
+TEST_CASE("epochs of three disks with a fourth at hand, proposed by a maintainer that missed changes, two faults") {
+  model_scope scope = outdated_view_scope();
   scope.further = 1;
   check_holds(scope);
 }
 
-TEST_CASE("epochs of three disks and a new machine that one proposes who missed changes, two faults") {
-  model_scope scope = unheard_scope();
+TEST_CASE("epochs of three disks and a new machine, proposed by a maintainer that missed changes, two faults") {
+  model_scope scope = outdated_view_scope();
   scope.earlier_views = earlier_view::of_one_moment;
-  scope.silent_replaced = true;
+  scope.replace_unresponsive = true;
   scope.spares = 1;
   check_holds(scope);
 }
 
 TEST_CASE("epochs that one proposes who missed changes, more states", "[.][long]") {
-  model_scope scope = unheard_scope();
+  model_scope scope = outdated_view_scope();
   SECTION("a fourth disk at hand, silent ones taken for gone, a record") {
     scope.further = 1;
-    scope.silent_replaced = true;
+    scope.replace_unresponsive = true;
     scope.writes = 1;
   }
   SECTION("decisions heard one by one, a record") {
@@ -224,41 +225,41 @@
   check_holds(scope);
 }
 
-TEST_CASE("a model of epochs without one of its rules breaks a promise") {
+TEST_CASE("an epoch model without one of its rules violates an invariant") {
   model_scope scope;
   model_rules rules;
   SECTION("a new disk votes before it has copied") { rules.copy_before_voting = false; }
   SECTION("a member answers for epochs that are over") {
-    scope = silence_scope();
+    scope = unresponsive_scope();
     rules.fence_old_epochs = false;
   }
   SECTION("a disk whose place was taken meanwhile votes at once") {
-    scope = silence_scope();
+    scope = unresponsive_scope();
     rules.copy_when_back = false;
   }
-  SECTION("members that start keep their epoch to themselves") {
+  SECTION("members that start do not report their epoch") {
     scope.spares = 3;
     scope.writes = 0;
     scope.coarse = true;
     rules.members_tell_epoch = false;
   }
   SECTION("a disk is taken away that leaves a record on one other") {
-    scope = emptied_scope();
-    scope.silent_replaced = true;
+    scope = draining_scope();
+    scope.replace_unresponsive = true;
     scope.coarse = true;
     rules.leave_enough_copies = false;
   }
-  SECTION("what a leaving member held is not waited for") {
-    scope = emptied_scope();
+  SECTION("a new member does not wait for the records of a leaving one") {
+    scope = draining_scope();
     scope.faults = 2;
     rules.wait_for_leaving = false;
   }
-  SECTION("nobody copies when there are fewer members") {
-    scope = emptied_scope();
+  SECTION("members do not copy when the group shrinks") {
+    scope = draining_scope();
     scope.coarse = true;
     rules.copy_when_fewer = false;
   }
-  SECTION("nobody decides who does not vote on records, so that a whole member alone is no majority") {
+  SECTION("only members that vote on records decide, so that a whole member alone is no majority") {
     scope.further = 1;
     scope.faults = 2;
     rules.whole_members_decide = false;
@@ -269,59 +270,57 @@
     scope.coarse = true;
     rules.decide_only_with_all_records = false;
   }
-  SECTION("a member counts as whole that took part in no decision that others made") {
-    rules.compare_in_each_epoch = false;
-  }
+  SECTION("a member counts as whole without a copy in the current epoch") { rules.compare_in_each_epoch = false; }
   SECTION("each of a pair may decide alone") {
-    scope = emptied_scope();
+    scope = draining_scope();
     scope.tolerated = 0;
-    scope.silent_replaced = true;
+    scope.replace_unresponsive = true;
     scope.writes = 0;
     rules.one_sole_decider = false;
   }
-  SECTION("a former member is taken up again by a maintainer that has not heard why") {
-    scope = unheard_scope();
-    scope.others_emptied = false;
+  SECTION("a maintainer that missed the draining of a former member adds it again") {
+    scope = outdated_view_scope();
+    scope.others_drained = false;
     rules.leaving_are_no_substitutes = false;
     rules.candidates_consent = false;
   }
-  SECTION("a disk joins without its word, and only leaving members are no substitutes") {
-    scope = unheard_scope();
-    scope.others_emptied = false;
+  SECTION("a disk joins without its consent, and only leaving members are no substitutes") {
+    scope = outdated_view_scope();
+    scope.others_drained = false;
     rules.candidates_consent = false;
   }
-  SECTION("a disk joins without its word, and those that left for good are kept with the group") {
-    scope = unheard_scope();
+  SECTION("a disk joins without its consent, and the group records departed members") {
+    scope = outdated_view_scope();
     rules.departed = departed_rule::all_kept;
     rules.candidates_consent = false;
     SECTION("one that was never a member") {}
-    SECTION("one that still leaves, for a pair") {
-      scope.others_emptied = false;
-      scope.silent_replaced = true;
+    SECTION("one that is still leaving, for a pair") {
+      scope.others_drained = false;
+      scope.replace_unresponsive = true;
     }
   }
-  SECTION("a disk's word holds for any later epoch") {
-    scope = unheard_scope();
+  SECTION("a disk's consent is valid for any later epoch") {
+    scope = outdated_view_scope();
     rules.consent_for_one_epoch = false;
   }
-  SECTION("the word of a machine that would come back as the last one holds for any place") {
-    scope = unheard_scope();
+  SECTION("the consent of a machine to return as the last one is valid for any place") {
+    scope = outdated_view_scope();
     scope.faults = 3;
     rules.consent_for_what_was_asked = false;
     rules.leaving_are_no_substitutes = false;
   }
-  SECTION("a machine forgets with a start what it agreed to") {
-    scope = unheard_scope();
+  SECTION("a machine loses its consents in a restart") {
+    scope = outdated_view_scope();
     scope.faults = 3;
     rules.consents_are_durable = false;
   }
-  SECTION("a machine that agreed to an epoch is emptied before it comes") {
-    scope = unheard_scope();
-    rules.consent_holds_up_emptying = false;
+  SECTION("a machine that consented to an epoch is drained before the epoch is decided") {
+    scope = outdated_view_scope();
+    rules.consent_delays_draining = false;
   }
-  SECTION("a machine that agreed waits for an epoch that nobody wants") {
-    scope = unheard_scope();
+  SECTION("a machine that consented waits for an epoch that is never decided") {
+    scope = outdated_view_scope();
     rules.unused_consents_end = false;
   }
-  check_noticed(scope, rules);
+  check_violated(scope, rules);
 }
--- a/tests/ledger/place_consents_test.cpp
+++ b/tests/ledger/place_consents_test.cpp
@@ -1,4 +1,4 @@
-/// A disk becomes a member of a replica group only by its own word, which it does not forget.
+/// A disk becomes a member of a replica group only with its own consent, which is stored durably.
 #include "ledger/place_consents.hpp"
 
 #include <catch2/catch.hpp>
@@ -22,7 +22,7 @@
 const ReplicaIdentity kNewC{NodeId("c"), DiskId("disk-c2")};
 constexpr std::uint64_t kDecided = 4;
 
-/// The disk of node c, whose group others hold.
+/// The disk of node c, which is no member of the group.
 struct spare_disk {
   spare_disk() {
     process.start();
@@ -36,7 +36,7 @@
     replica = std::make_unique<Replica>(environment, storage, counters, kC.node, kC.disk,
                                         [](const NodeId& node) { return std::optional(PeerAddress(node.str())); });
   }
-  void hear_of(std::uint64_t epoch) { replica->on_group_map({{{epoch, {kA, kB}, {}}}}); }
+  void learn_epoch(std::uint64_t epoch) { replica->on_group_map({{{epoch, {kA, kB}, {}}}}); }
   PlaceConsent offer(std::uint64_t epoch, bool although_retiring = false, const ReplicaIdentity& disk = kC) {
     wire::CopyStatusRequestT request;
     request.epoch = epoch;
@@ -68,27 +68,27 @@
 
 }  // namespace
 
-// A maintainer that had not heard that a disk is to be emptied named it again; the disk was taken away, and the loss of
-// another one left one member of three.
-TEST_CASE("a disk that is to be emptied takes no place, but where a group has no other disk") {
+// Guards against a maintainer with an outdated view that names a draining disk again: the disk is removed, and the loss
+// of another one leaves one member of three.
+TEST_CASE("a draining disk takes no place, except where a group has no other disk") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   disk.replica->begin_emptying();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Retiring);
   CHECK(disk.may_go());
   CHECK(disk.offer(kDecided + 1, true) == PlaceConsent::Given);
 }
 
-// The epoch may name it: decided by others with what its proposer had sent before it went away.
-TEST_CASE("a disk that has consented to a place is not emptied before it knows whether that epoch names it") {
+// Others may still decide the epoch with the messages that its proposer sent before it became unreachable.
+TEST_CASE("a disk that has consented to a place is not drained before it knows whether that epoch names it") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
   disk.replica->begin_emptying();
   CHECK_FALSE(disk.may_go());
   CHECK(disk.replica->open_places() == std::vector<open_place>{{0, kDecided + 1}});
   SECTION("it does not") {
-    disk.hear_of(kDecided + 1);
+    disk.learn_epoch(kDecided + 1);
     CHECK(disk.may_go());
   }
   SECTION("it does") {
@@ -98,39 +98,39 @@
   }
 }
 
-TEST_CASE("a consent lasts through a loss of power") {
+TEST_CASE("a consent survives a power loss") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
   disk.storage.crash();
   disk.start();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   disk.replica->begin_emptying();
   CHECK_FALSE(disk.may_go());
 }
 
-TEST_CASE("a disk that was emptied takes no place after a restart, whatever it hears") {
+TEST_CASE("a drained disk takes no place after a restart, whatever it receives") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   REQUIRE(disk.note_emptied());
   CHECK(disk.offer(kDecided + 1, true) == PlaceConsent::Retiring);
   disk.storage.crash();
   disk.start();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Retiring);
   disk.replica->keep_disk();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
 }
 
-TEST_CASE("a node does not take a place for a disk that it had before") {
+TEST_CASE("a node does not consent to a place for its former disk") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1, false, kNewC) == PlaceConsent::OtherDisk);
 }
 
 TEST_CASE("a disk takes no place in an epoch that is over, nor while it stops or refuses writes") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided) == PlaceConsent::EpochOver);
   disk.replica->suspend();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::NotReady);
@@ -140,7 +140,7 @@
   CHECK(disk.replica->open_places().empty());
 }
 
-TEST_CASE("a status that was asked for without a place says that none was offered") {
+TEST_CASE("a reply to a status request without a place reports that none was offered") {
   spare_disk disk;
   wire::CopyStatusRequestT request;
   disk.replica->handle(kProposer, request);
@@ -149,11 +149,11 @@
   CHECK(disk.environment.sent.back().body.AsCopyStatus()->consent == PlaceConsent::NotAsked);
 }
 
-// A gateway that had been cut off had one of a pair decide alone without the other one, which was there; that disk was
-// lost next.
-TEST_CASE("one of a pair does not decide alone while it knows the other one to be there") {
+// Guards against a sole decision made while both members of a pair are reachable: a gateway that had been disconnected
+// had one of them decide alone, and that disk was lost next.
+TEST_CASE("one of a pair does not decide alone while it knows that the other one is reachable") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   wire::CopyStatusRequestT request;
   request.place_epoch = kDecided + 1;
   request.offered = std::make_unique<wire::ReplicaIdT>();
@@ -175,7 +175,7 @@
   CHECK(disk.replica->open_places().empty());
 }
 
-TEST_CASE("a member is not given up as silent by the vote of one that knows it to be there") {
+TEST_CASE("a member is not given up as unresponsive by the vote of one that knows that it is reachable") {
   spare_disk disk;
   disk.replica->on_group_map({{{1, {kA, kB, kC}, {}}}});
   bool there = true;
@@ -198,24 +198,24 @@
   CHECK(vote(2) == wire::ReplicaStatus::Granted);
 }
 
-TEST_CASE("a consent that cannot be read has the disk take no place and not be emptied") {
+TEST_CASE("a disk whose consent cannot be read takes no place and is not drained") {
   spare_disk disk;
   disk.storage.put("c/0000", wire::Bytes{1, 2});
   disk.start();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::NotReady);
   CHECK_FALSE(disk.may_go());
 }
 
-// The platform's word that the disk stays came while the disk did not answer yet.
-TEST_CASE("a disk that stays takes places, also where its mark is read after that was told") {
+// Guards against an ignored message of the platform that the disk stays, received before the disk could be read.
+TEST_CASE("a disk that stays takes places, also where its draining mark is read after the platform's message") {
   spare_disk disk;
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   REQUIRE(disk.note_emptied());
   disk.storage.crash();
   disk.start_unread();
   disk.replica->keep_disk();
   disk.replica->restore();
-  disk.hear_of(kDecided);
+  disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
 }
--- a/tests/ledger/rocksdb_power_schedules_test.cpp
+++ b/tests/ledger/rocksdb_power_schedules_test.cpp
@@ -1,6 +1,6 @@
-/// A node whose database could not be opened after losses of power would end at each start, for good: schedules of
-/// writes, syncs, tables and losses of power at any change of a file, each loss keeping any part of what was not
-/// synced.
+/// Guards against a database that cannot be opened after power losses, which makes its node fail at each start. Runs
+/// random schedules of writes, syncs, table changes and power losses at any change of a file; each loss keeps a random
+/// part of the unsynced data.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -26,15 +26,15 @@
 
 constexpr char kFolder[] = "/disk";
 constexpr char kIdentityKey[] = "disk/identity";
-constexpr std::size_t kSmallBuffer = 64 << 10;  ///< So that tables are written and merged within a schedule.
+constexpr std::size_t kSmallBuffer = 64 << 10;  ///< Small enough that tables are written and merged within a schedule.
 constexpr unsigned kKeys = 40;
-constexpr unsigned kMostSteps = 150;
-constexpr unsigned kMostChanges = 400;
+constexpr unsigned kMaxSteps = 150;
+constexpr unsigned kMaxChanges = 400;
 constexpr unsigned kLosses = 5;
-constexpr std::size_t kMostValueBytes = 6000;
+constexpr std::size_t kMaxValueBytes = 6000;
 constexpr std::uint64_t kSchedulesInCi = 60;
 
-/// One disk through several losses of power.
+/// The life of one disk through several power losses.
 class schedule {
  public:
   explicit schedule(std::uint64_t seed) : seed_(seed), random_(seed) {
@@ -45,26 +45,26 @@
   void run() {
     for (unsigned loss = 0; loss < kLosses; ++loss) {
       INFO("seed " << seed_ << ", start " << loss);
-      live_until_loss();
+      run_until_power_loss();
     }
   }
 
  private:
   struct Versions {
-    std::uint64_t put = 0;        ///< The last one, which a loss may have taken away.
-    std::uint64_t there = 0;      ///< In the database that is open.
-    std::uint64_t confirmed = 0;  ///< Whatever is lost.
+    std::uint64_t put = 0;        ///< The last version written; a power loss may have removed it.
+    std::uint64_t there = 0;      ///< The version in the open database.
+    std::uint64_t confirmed = 0;  ///< The last synced version, which survives every power loss.
   };
 
   std::uint64_t draw(std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(0, most)(random_); }
   static std::string key_of(unsigned number) { return "a/" + std::to_string(number); }
-  /// What is put together with a record.
+  /// @return the key of the entry that is written together with a record.
   static std::string pair_of(unsigned number) { return "b/" + std::to_string(number); }
 
-  void live_until_loss() {
+  void run_until_power_loss() {
     lossy_files files(names_, random_());
     if (draw(3) > 0) {
-      files.lose_power_after(draw(draw(1) == 0 ? kMostChanges : kMostChanges / 10));
+      files.lose_power_after(draw(draw(1) == 0 ? kMaxChanges : kMaxChanges / 10));
     }
     {
       auto opened = RocksDbStorage::open(kFolder, tests::inline_executors(), &files, kSmallBuffer);
@@ -104,7 +104,7 @@
     return version;
   }
 
-  /// What is read after an opening survives whatever comes.
+  /// Checks the records of a just opened database; what is read then survives later power losses.
   void check_records(const RocksDbStorage& storage, const lossy_files& files) {
     std::array<std::uint64_t, kKeys> found{};
     for (unsigned number = 0; number < kKeys; ++number) {
@@ -121,7 +121,7 @@
   }
 
   void write(RocksDbStorage& storage, lossy_files& files) {
-    const std::uint64_t steps = draw(kMostSteps);
+    const std::uint64_t steps = draw(kMaxSteps);
     const std::uint64_t flush_every = 1 + draw(20);
     for (std::uint64_t step = 0; step < steps && !files.has_lost_power(); ++step) {
       if (draw(flush_every) == 0) {
@@ -134,7 +134,7 @@
 
   void put(RocksDbStorage& storage, unsigned number) {
     const std::uint64_t version = ++records_.at(number).put;
-    wire::Bytes value(sizeof version + draw(kMostValueBytes), static_cast<std::uint8_t>(version));
+    wire::Bytes value(sizeof version + draw(kMaxValueBytes), static_cast<std::uint8_t>(version));
     for (std::size_t index = 0; index < sizeof version; ++index) {
       value[index] = static_cast<std::uint8_t>(version >> (8 * index));
     }
@@ -156,7 +156,7 @@
   std::array<Versions, kKeys> records_{};
 };
 
-/// A disk with its folder alone.
+/// @return a disk with an empty folder.
 lossy_names empty_disk() {
   auto folder = std::make_shared<lossy_file>();
   folder->is_folder = true;
@@ -165,22 +165,22 @@
 
 std::string record_of_run(unsigned number) { return "a/" + std::to_string(number); }
 
-/// Makes a database, fills more than a table with records, each of which is confirmed, and closes it.
-/// @return how many were confirmed before power was lost.
+/// Creates a database, writes and syncs more records than one table holds, and closes it.
+/// @return the number of records that were synced before the power loss.
 unsigned confirm_records(lossy_files& files) {
   constexpr unsigned kRecords = 30;
   const auto opened = RocksDbStorage::open(kFolder, tests::inline_executors(), &files, kSmallBuffer);
   REQUIRE(succeeded(opened));
   unsigned confirmed = 0;
   for (unsigned number = 0; number < kRecords; ++number) {
-    value_of(opened)->put(record_of_run(number), wire::Bytes(kMostValueBytes, 1));
+    value_of(opened)->put(record_of_run(number), wire::Bytes(kMaxValueBytes, 1));
     tests::flush(*value_of(opened));
     confirmed += files.has_lost_power() ? 0 : 1;
   }
   return confirmed;
 }
 
-/// @return what is wrong with a disk that has to hold @p confirmed records; empty: nothing.
+/// @return the fault of a disk that must hold the first @p confirmed records; empty if there is none.
 std::string fault_of(const lossy_names& left, unsigned confirmed) {
   lossy_files files(left, 0);
   const auto opened = RocksDbStorage::open(kFolder, tests::inline_executors(), &files, kSmallBuffer);
@@ -190,7 +190,7 @@
   for (unsigned number = 0; number < confirmed; ++number) {
     const auto found = value_of(opened)->get(record_of_run(number));
     if (!succeeded(found) || !value_of(found)) {
-      return "record " + std::to_string(number) + " of " + std::to_string(confirmed) + " is not there";
+      return "record " + std::to_string(number) + " of " + std::to_string(confirmed) + " is missing";
     }
   }
   return "";
@@ -203,7 +203,7 @@
 
 }  // namespace
 
-TEST_CASE("a disk opens with all that was confirmed after any losses of power") {
+TEST_CASE("a disk opens with every confirmed record after any power losses") {
   const std::uint64_t first = from_environment("MADDERDECK_TEST_SEED", 1);
   const std::uint64_t count = from_environment("MADDERDECK_TEST_SCHEDULES", kSchedulesInCi);
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
@@ -211,13 +211,13 @@
   }
 }
 
-// Ended nodes for good: "checksum mismatch in file MANIFEST" at each start, after a loss of power in the moment between
-// the write of a change of tables and its sync.
-TEST_CASE("a disk opens after a loss of power that tears what its database was writing, whatever that was") {
-  constexpr std::size_t kMostChangesOfRun = 150;
+// Guards against nodes that fail at each start with "checksum mismatch in file MANIFEST" after a power loss between the
+// write of a table change and its sync.
+TEST_CASE("a disk opens after a power loss that tears any write of its database") {
+  constexpr std::size_t kMaxChangesOfRun = 150;
   constexpr unsigned kTearings = 4;
   std::vector<std::string> faults;
-  for (std::size_t changes = 0; changes < kMostChangesOfRun; ++changes) {
+  for (std::size_t changes = 0; changes < kMaxChangesOfRun; ++changes) {
     for (unsigned tearing = 0; tearing < kTearings; ++tearing) {
       lossy_files files(empty_disk(), changes * kTearings + tearing);
       files.set_kept({1, 1, 1});
@@ -234,8 +234,8 @@
   CHECK(faults.empty());
 }
 
-TEST_CASE("a database that changes its tables often keeps few of its descriptions of them") {
-  constexpr std::size_t kMostManifests = 3;  ///< The present one, and what is not removed yet.
+TEST_CASE("a database that changes its tables often keeps few manifests") {
+  constexpr std::size_t kMaxManifests = 3;  ///< The current one and those not removed yet.
   lossy_files files(empty_disk(), 0);
   confirm_records(files);
   std::vector<std::string> names;
@@ -243,5 +243,5 @@
   const auto manifests =
       std::count_if(names.begin(), names.end(), [](const std::string& name) { return name.starts_with("MANIFEST"); });
   CHECK(manifests >= 1);
-  CHECK(manifests <= static_cast<std::ptrdiff_t>(kMostManifests));
+  CHECK(manifests <= static_cast<std::ptrdiff_t>(kMaxManifests));
 }
