--- a/tests/ledger/epoch_model.cpp
+++ b/tests/ledger/epoch_model.cpp
@@ -39,19 +39,19 @@
   presence state = presence::spare;
   std::uint8_t disk_number = 0;
   bool retiring = false;
-  std::uint8_t epoch = 0;      ///< The latest epoch stored on its disk.
-  bool voted = false;          ///< Its disk was admitted in some epoch.
-  bool returning = false;      ///< Its disk has to copy again before it votes.
-  bool dropped = false;        ///< This process knows that it is no longer a member.
-  bool holds_leaving = false;  ///< Its disk holds all records of the members that leave in its epoch.
-  bool full = false;           ///< Its disk has copied all records that it lacked when its epoch began.
-  node_set copied = 0;         ///< Sources that this process has copied from in this epoch.
-  node_set copied_votes = 0;   ///< The sources among them that were admitted.
-  node_set copied_whole = 0;   ///< The sources among them that were whole.
-  bool whole = false;          ///< Its disk holds every record confirmed before its epoch.
-  bool whole_before = false;   ///< It was whole in an earlier epoch of the same members.
-  bool whole_last = false;     ///< It was whole in the epoch before this one.
-  bool followed = false;       ///< Its disk adopted the epoch before this one.
+  std::uint8_t epoch = 0;                ///< The latest epoch stored on its disk.
+  bool voted = false;                    ///< Its disk was admitted in some epoch.
+  bool returning = false;                ///< Its disk has to copy again before it votes.
+  bool dropped = false;                  ///< This process knows that it is no longer a member.
+  bool holds_leaving = false;            ///< Its disk holds all records of the members that leave in its epoch.
+  bool full = false;                     ///< Its disk has copied all records that it lacked when its epoch began.
+  node_set copied = 0;                   ///< Sources that this process has copied from in this epoch.
+  node_set copied_votes = 0;             ///< The sources among them that were admitted.
+  node_set copied_whole = 0;             ///< The sources among them that were whole.
+  bool whole = false;                    ///< Its disk holds every record confirmed before its epoch.
+  bool whole_with_same_members = false;  ///< It was whole in an earlier epoch of the same members.
+  bool whole_in_previous_epoch = false;  ///< It was whole in the epoch before this one.
+  bool followed = false;                 ///< Its disk adopted the epoch before this one.
   /// The epoch of the consent stored on its disk; 0: no consent, or one for an epoch that it knows to be over.
   std::uint8_t consented_epoch = 0;
   auto operator<=>(const machine&) const = default;
@@ -113,8 +113,8 @@
     put(static_cast<unsigned>(one.state) | (one.retiring ? 8U : 0U) | (one.voted ? 16U : 0U) |
         (one.returning ? 32U : 0U) | (one.dropped ? 64U : 0U) | (one.full ? 128U : 0U));
     put(one.disk_number * 16U + one.epoch);
-    put((one.holds_leaving ? 1U : 0U) | (one.whole ? 2U : 0U) | (one.whole_before ? 4U : 0U) |
-        (one.followed ? 8U : 0U) | (one.whole_last ? 16U : 0U));
+    put((one.holds_leaving ? 1U : 0U) | (one.whole ? 2U : 0U) | (one.whole_with_same_members ? 4U : 0U) |
+        (one.followed ? 8U : 0U) | (one.whole_in_previous_epoch ? 16U : 0U));
     put(one.copied);
     put(one.copied_votes);
     put(one.copied_whole);
@@ -214,12 +214,12 @@
         one.copied = 0;
         one.copied_votes = 0;
         one.copied_whole = 0;
-        one.whole_last = false;
+        one.whole_in_previous_epoch = false;
         one.followed = false;
       }
       if (one.dropped) {
         one.whole = false;
-        one.whole_before = false;
+        one.whole_with_same_members = false;
         one.holds_leaving = false;
         one.full = false;
       }
@@ -404,8 +404,8 @@
                         !all_in(before.replicas, named);
     const bool kept_all = followed && !one.returning && !unsafe;
     const bool took_part_in_all = one.epoch > 0 && majority_of(before) == before.replicas.size();
-    one.whole_last = rules_.whole_members_decide && (one.whole || one.whole_before) && kept_all;
-    one.whole_before = one.whole_last && before.replicas == group.replicas;
+    one.whole_in_previous_epoch = rules_.whole_members_decide && (one.whole || one.whole_with_same_members) && kept_all;
+    one.whole_with_same_members = one.whole_in_previous_epoch && before.replicas == group.replicas;
     const bool stays_whole = kept_all && (took_part_in_all || !rules_.compare_in_each_epoch);
     one.whole = rules_.whole_members_decide && one.whole && stays_whole;
     one.followed = followed && !group.leaving.empty();
@@ -472,11 +472,12 @@
     const description& group = state.of(one.epoch);
     const unsigned admitted = size_of(one.copied_votes & nodes_of(group.replicas));
     if (!is_admitted(state, node)) {
-      return (all_members && (!waits || one.whole_last)) || admitted >= majority_of(group);
+      return (all_members && (!waits || one.whole_in_previous_epoch)) || admitted >= majority_of(group);
     }
     const node_set before = one.followed ? nodes_of(state.of(one.epoch - 1U).replicas) : 0;
-    const unsigned fresh_leavers = size_of(one.copied_votes & nodes_of(group.leaving) & before);
-    return (all_members && (!waits || one.whole_last)) || 1 + admitted + fresh_leavers >= majority_of(group);
+    const unsigned recent_leavers = size_of(one.copied_votes & nodes_of(group.leaving) & before);
+    return (all_members && (!waits || one.whole_in_previous_epoch)) ||
+           1 + admitted + recent_leavers >= majority_of(group);
   }
 
   void admit_if_complete(model_state& state, unsigned node) const {
@@ -497,8 +498,8 @@
     if (!one.whole) {
       return;
     }
-    one.whole_before = false;
-    one.whole_last = false;
+    one.whole_with_same_members = false;
+    one.whole_in_previous_epoch = false;
     one.copied_votes = 0;
     one.copied_whole = 0;
     if (holds_all(state, node)) {
@@ -649,7 +650,7 @@
       const machine& one = state.machines[node];
       const bool let_go =
           change.rule.let_go && disk_of(*change.rule.let_go) == disk{static_cast<std::uint8_t>(node), one.disk_number};
-      whole += has(granting, node) && !let_go && (one.whole || one.whole_before) ? 1 : 0;
+      whole += has(granting, node) && !let_go && (one.whole || one.whole_with_same_members) ? 1 : 0;
     }
     if (change.rule.whole_majority) {
       return whole >= std::max<std::size_t>(majority_of(state.of(epoch)), change.rule.least_whole);
--- a/tests/ledger/scan_test.cpp
+++ b/tests/ledger/scan_test.cpp
@@ -117,7 +117,7 @@
 
   fixture.start();
   CHECK(fixture.request_to(1).ballots_only);
-  fixture.environment.world.run_for(ClientOptions{}.avoid_silent);
+  fixture.environment.world.run_for(ClientOptions{}.avoid_unresponsive);
   fixture.start();
   CHECK_FALSE(fixture.request_to(1).ballots_only);
 }
