--- a/src/config/objects.cpp
+++ b/src/config/objects.cpp
@@ -8,7 +8,7 @@
 
 namespace json = boost::json;
 
-/// Reads typed fields of a JSON object and remembers the first thing that is wrong.
+/// Reads typed fields of a JSON object and keeps the first error.
 class FieldReader {
  public:
   FieldReader(std::string_view text) {
@@ -17,7 +17,7 @@
     if (failure) {
       fail("body", failure.message(), "a JSON object");
     } else if (!value_.is_object()) {
-      fail("body", "another JSON type", "a JSON object");
+      fail("body", "a different JSON type", "a JSON object");
     }
   }
 
@@ -78,9 +78,9 @@
       error_ = Error{ErrorKind::invalid_argument, field + ": found " + found + ", allowed is " + allowed};
     }
   }
-  /// Fields that nobody asks for are no problem: a later version may have added them.
+  /// Accepts fields that were not read: a later version may have added them.
   void ignore_others() { strict_ = false; }
-  /// @return the first problem, counting fields that nobody asked for.
+  /// @return the first error; fields that were not read count as errors unless ignore_others() was called.
   std::optional<Error> finish() {
     known_.insert({"kind", "name"});
     if (!strict_) {
@@ -194,7 +194,7 @@
   ledger::GroupMap map;
   const json::value* groups = reader.find("groups", true);
   if (groups == nullptr || !groups->is_array()) {
-    reader.fail("groups", "another type", "an array");
+    reader.fail("groups", "a different type", "an array");
     return *reader.finish();
   }
   try {
@@ -214,7 +214,7 @@
       map.groups.push_back(std::move(group));
     }
   } catch (const std::exception& failure) {
-    reader.fail("groups", failure.what(), "epoch and replicas with node and disk");
+    reader.fail("groups", failure.what(), "an epoch, and replicas with node and disk");
   }
   return finish(reader, std::move(map));
 }
@@ -240,7 +240,7 @@
 
 Result<Machine> parse_machine(const std::string& name, std::string_view text) {
   FieldReader reader(text);
-  reader.ignore_others();  // nodes of a later version pass their entries on
+  reader.ignore_others();  // entries may come from nodes of a later version
   Machine result;
   result.id = BackendId(name);
   const std::string target = reader.choice("target", "model", {"model", "service"});
@@ -289,7 +289,8 @@
     return Ok{};
   };
   if (name.empty() || name.find_first_of("/ \t\n") != std::string::npos) {
-    return Error{ErrorKind::invalid_argument, "name: found '" + name + "', allowed is a word without slash or space"};
+    return Error{ErrorKind::invalid_argument,
+                 "name: found '" + name + "', allowed is a name without slashes or white space"};
   }
   if (text.size() > kMaxObjectBytes) {
     return Error{ErrorKind::limit_exceeded, "object is larger than " + std::to_string(kMaxObjectBytes) + " bytes"};
--- a/src/config/objects.hpp
+++ b/src/config/objects.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Objects that operators declare, and their checking.
+/// @file Objects that operators declare, and their validation.
 
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace madderdeck::config {
 
-/// What a template calls: a model on an engine, or an application service.
+/// The kind of back end that a template calls: a model on an engine, or an application service.
 enum class Target { model, service };
 
 /// A kind of work. Callers name it where the OpenAI API names a model.
@@ -24,7 +24,7 @@
   std::string name;
   Target target = Target::model;
   std::string pool;           ///< Model name or service name.
-  std::string system_prompt;  ///< May hold {parameter} marks, filled in per tenant.
+  std::string system_prompt;  ///< May contain {parameter} placeholders, which are replaced per tenant.
   std::uint32_t max_tokens = 128;
   std::uint32_t timeout_ms = 30'000;
   bool repeatable = true;  ///< False: at most one run for each Idempotency-Key.
@@ -41,25 +41,25 @@
   std::map<std::string, std::string> parameters;
 };
 
-/// A model version and how many engines ought to hold it.
+/// A model version and the number of engines that should have it loaded.
 struct Model {
   std::string name;
   std::string version;
-  std::uint32_t replicas = 0;  ///< 0: wherever it was loaded already.
+  std::uint32_t replicas = 0;  ///< 0: only engines that have already loaded it.
   std::uint64_t weight_bytes = 0;
 };
 
 /// How engines are chosen for live requests.
 enum class RoutingPolicyName { prefix_affinity, least_connections, round_robin };
 
-/// Settings of the whole fleet that may change while it runs.
+/// Fleet-wide settings that can change at run time.
 struct FleetPolicy {
   RoutingPolicyName routing = RoutingPolicyName::prefix_affinity;
   std::uint32_t subset_size = 16;          ///< Engines of a pool that one gateway uses.
-  std::uint32_t batch_headroom_slots = 2;  ///< Engine slots batch never takes.
-  std::uint32_t retry_percent = 10;        ///< Retries as a share of requests.
+  std::uint32_t batch_headroom_slots = 2;  ///< Slots of an engine that batch work never uses.
+  std::uint32_t retry_percent = 10;        ///< Retries as a percentage of requests.
   bool batch_yields = true;
-  std::uint32_t online_queue_percent = 200;  ///< In-flight live requests per engine, as a share of its slots.
+  std::uint32_t online_queue_percent = 200;  ///< In-flight live requests per engine, as a percentage of its slots.
   std::uint32_t replace_ledger_node_after_s = 60;
 };
 
@@ -70,11 +70,11 @@
 Result<ledger::GroupMap> parse_group_map(std::string_view json);
 std::string format_group_map(const ledger::GroupMap& map);
 
-/// Checks an object of any declarable kind.
+/// Validates an object of any kind that operators can declare.
 /// @return ErrorKind::invalid_argument with the field, what was found and what is allowed.
 Status check_object(const std::string& kind, const std::string& name, std::string_view json);
 
-/// Fills the {parameter} marks of @p text from the tenant's parameters; unknown marks stay.
+/// Replaces the {parameter} placeholders in @p text by the tenant's parameters; unknown placeholders stay.
 std::string fill_parameters(const std::string& text, const Tenant& tenant);
 
 inline constexpr char kTemplateKind[] = "template";
@@ -88,7 +88,7 @@
 /// Parsed view of the declared objects, kept up to date entry by entry. Not thread safe.
 class Catalog {
  public:
-  /// Takes the present state of the changed @p keys from @p table.
+  /// Updates the view with the current entries of the changed @p keys in @p table.
   void update(const VersionedTable& table, const std::vector<EntryKey>& keys);
 
   std::shared_ptr<const Template> find_template(const std::string& name) const;
@@ -96,11 +96,11 @@
   std::shared_ptr<const Tenant> tenant_by_key(const std::string& api_key) const;
   std::vector<std::shared_ptr<const Template>> templates() const;
   std::vector<std::shared_ptr<const Model>> models() const;
-  /// Sets what stands until operators declare a policy.
+  /// Sets the policy that applies until operators declare one.
   void set_default_policy(const FleetPolicy& policy) { policy_ = policy; }
   const FleetPolicy& policy() const { return policy_; }
   const ledger::GroupMap& groups() const { return groups_; }
-  /// @return the routes in force; null before any are known.
+  /// @return the current routes; null until the first routes are known.
   const forwarding::RouteTablePointer& routes() const { return routes_; }
 
  private:
@@ -116,24 +116,24 @@
   forwarding::RouteTablePointer routes_;
 };
 
-/// A back end as the platform's machine list describes it.
+/// A back end as described by its entry in the platform's machine list.
 struct Machine {
   BackendId id;
-  std::string address;  ///< "ip:port"; the id itself where the list states none.
+  std::string address;  ///< "ip:port"; the id itself if the list gives no address.
   Target target = Target::model;
   std::vector<std::string> pools;  ///< Models or services it offers.
   std::string zone;
   std::uint32_t slots = 1;
   bool leaving = false;
-  std::uint64_t started_unix_ms = 0;  ///< When its present process started; 0: not told.
-  std::uint32_t warm_up_left_ms = 0;  ///< For how long it still bears few requests, as of the entry's writing.
+  std::uint64_t started_unix_ms = 0;  ///< When its current process started; 0: not reported.
+  std::uint32_t warm_up_left_ms = 0;  ///< Remaining warm-up, with few requests, when the entry was written.
 };
-/// Body of an entry that is there but cannot be read: it offers nothing and gets no work.
+/// Body of an entry that exists but cannot be parsed: the machine offers no pools and gets no work.
 inline constexpr char kUnreadableMachine[] = R"({"state":"unreadable"})";
 Result<Machine> parse_machine(const std::string& name, std::string_view json);
 std::string format_machine(const Machine& machine);
 inline constexpr char kMachineKind[] = "machine";
-/// An entry stands for as long as the back ends of the zone of its name are to get no requests.
+/// Entries are named after zones. While an entry exists, the back ends of its zone get no requests.
 inline constexpr char kEvacuationKind[] = "zone_evacuation";
 
 }  // namespace madderdeck::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::int64_t kMillion = 1'000'000;
 
-/// Where a value came from, for error messages.
+/// Source of a value, for error messages.
 struct Origin {
   std::string file;
   std::int64_t line = 0;
@@ -31,7 +31,7 @@
                origin.text() + ": " + key + ": found " + found + ", allowed is " + allowed};
 }
 
-/// One known key: its type, range and place in Settings.
+/// A known key: its type, its range and its member in Settings.
 struct Field {
   std::string Settings::*text = nullptr;
   std::vector<std::string> Settings::*list = nullptr;
@@ -117,7 +117,7 @@
     if (!value || *value < field.low || *value > field.high) {
       const std::string found = value ? std::to_string(*value) : "a value of type " + describe(node);
       return fault(origin, key, found,
-                   "a whole number from " + std::to_string(field.low) + " to " + std::to_string(field.high));
+                   "an integer from " + std::to_string(field.low) + " to " + std::to_string(field.high));
     }
     settings.*field.number = *value;
   } else {
@@ -186,9 +186,8 @@
   const char* end = change.value.data() + change.value.size();
   const auto parsed = std::from_chars(change.value.data(), end, number);
   if (parsed.ec != std::errc() || parsed.ptr != end || number < field->second.low || number > field->second.high) {
-    return fault(
-        Origin{}, change.key, change.value,
-        "a whole number from " + std::to_string(field->second.low) + " to " + std::to_string(field->second.high));
+    return fault(Origin{}, change.key, change.value,
+                 "an integer from " + std::to_string(field->second.low) + " to " + std::to_string(field->second.high));
   }
   settings.*field->second.number = number;
   return std::nullopt;
@@ -213,12 +212,12 @@
                                                         {"platform.endpoint", settings.platform_endpoint}};
   for (const auto& [key, address] : addresses) {
     if (!net::parse_endpoint(address, endpoint)) {
-      return fault(origin, key, "'" + address + "'", "ip:port with an IP number");
+      return fault(origin, key, "'" + address + "'", "ip:port with an IP address");
     }
   }
   for (const std::string& seed : settings.seeds) {
     if (!net::parse_endpoint(seed, endpoint)) {
-      return fault(origin, "node.seeds", "'" + seed + "'", "ip:port with an IP number");
+      return fault(origin, "node.seeds", "'" + seed + "'", "ip:port with an IP address");
     }
   }
   if (settings.peer_address == settings.api_address) {
@@ -241,14 +240,15 @@
   const auto parsed = std::from_chars(settings.cpu_share.data(), end, share);
   const bool is_share = parsed.ec == std::errc() && parsed.ptr == end && share > 0 && share <= kMostShare;
   if (!settings.cpu_share.empty() && !is_share) {
-    return fault(origin, "node.cpu_share", "'" + settings.cpu_share + "'", "a part of a core like 0.25, or none");
+    return fault(origin, "node.cpu_share", "'" + settings.cpu_share + "'",
+                 "a share of a core such as 0.25, or nothing");
   }
   if (settings.tenant_rate_window().count() == 0) {
     return fault(origin, "tenants.rate_window_s", "'" + settings.tenant_rate_window_s + "'",
                  "a number of seconds from 0.1 to 3600");
   }
   if (settings.tenant_keys_fail_closed != 0 && settings.tenant_keys_useful_ms == 0) {
-    return fault(origin, "tenants.keys_useful_ms", "0", "a time from 1 on, since tenants.keys_fail_closed is 1");
+    return fault(origin, "tenants.keys_useful_ms", "0", "a time of at least 1, since tenants.keys_fail_closed is 1");
   }
   if (const auto policies = settings.policies(); !succeeded(policies)) {
     return Error{ErrorKind::invalid_argument, origin.text() + ": " + error_of(policies).detail};
@@ -260,7 +260,8 @@
   return std::nullopt;
 }
 
-/// Where all nodes hear their peers at one port, seeds may be named by another port of theirs.
+/// Replaces the ports of the seeds by seed_port. Where all nodes listen for peers on one port, the configured seed
+/// addresses may name another port of the same nodes.
 void use_seed_port(Settings& settings) {
   if (settings.seed_port == 0) {
     return;
--- a/src/config/versioned_table.cpp
+++ b/src/config/versioned_table.cpp
@@ -7,24 +7,25 @@
 
 namespace madderdeck::config {
 namespace {
-/// Entries of back ends take some 200 bytes: a node that starts in a fleet of 10,000 has them after 40 exchanges. On a
-/// link of 30 Mbit/s a delta takes 17 ms.
+/// A back end's entry has about 200 bytes, so a node that starts in a fleet of 10,000 back ends has all entries after
+/// 40 exchanges. On a link of 30 Mbit/s a delta takes 17 ms.
 constexpr std::size_t kBytesPerDelta = 64 * 1024;
 constexpr std::size_t kMostEntriesPerDelta = 512;
 constexpr std::size_t kAnnounceFanout = 3;
-constexpr std::uint64_t kFarBehind = 1'000;  ///< Revisions: more than a storm of changes, less than a whole table.
-/// Peers of this zone probe each other about once a second; twice that at most is lost where none of them has the
-/// table.
+constexpr std::uint64_t kFarBehind = 1'000;  ///< In revisions: more than a burst of changes, less than a full table.
+/// Peers of a zone probe each other about once a second. If none of them has the table, at most twice this time is
+/// lost.
 constexpr Duration kNearPatience = 1500ms;
 constexpr Duration kPullTimeout = 250ms;
-/// A datagram and its answer; later ones have met a busy peer and say little.
+/// Round trip of a datagram. A later reply comes from a busy peer, so the age in it is too uncertain.
 constexpr Duration kAnswerWait = 250ms;
-/// Word that is fresher by less is not worth a question.
+/// A peer is asked for its age only if its claim is fresher than as_of() by at least this.
 constexpr Duration kWorthAsking = 300ms;
 
-/// A pull without a number is of a version whose nodes refuse a back end's entry with a field that they do not know,
-/// and take the back end for gone: a node of that version that started beside newer ones had no back end left, and
-/// refused every request. The field came with the numbers.
+/// Removes the fields that nodes of an earlier version do not know. Such nodes send pulls without a number, reject a
+/// back end's entry that has an unknown field and treat the back end as removed: a node of that version that started
+/// beside newer ones had no back end left and refused every request. Pull numbers and the first of these fields were
+/// added in the same version.
 std::string body_for_earlier_version(const Entry& change) {
   if (change.key.kind != kMachineKind) {
     return change.body;
@@ -128,7 +129,7 @@
   if (take(since, up_to, changes, complete)) {
     announce();
   }
-  // An answer that was overtaken says nothing of what is held now, unless it reaches as far.
+  // A reply that was overtaken by later changes does not confirm the current state, unless it covers its revision.
   if (up_to >= table_.revision()) {
     as_of_ = std::max(as_of_, as_of);
   }
@@ -176,7 +177,7 @@
     }
     return;
   }
-  // What was all at the peer's time is held here, too.
+  // This node holds everything that the source had at the time that the peer's claim names.
   const bool known = age_ms != kUnknownAge;
   const Timestamp claimed = known ? environment_.now() - std::chrono::milliseconds(age_ms) : Timestamp{};
   if (!known || claimed < as_of_ + kWorthAsking) {
@@ -198,7 +199,8 @@
   }
   const Timestamp now = environment_.now();
   if (!near_awaited_until_) {
-    // Nodes of a zone give up after each other, so that the first ones have something for the others.
+    // The random part staggers the nodes of a zone, so that the first ones to stop waiting pull the table for the
+    // others.
     const auto extra = static_cast<Duration::rep>(environment_.random() % kNearPatience.count());
     near_awaited_until_ = now + kNearPatience + Duration(extra);
   }
@@ -254,7 +256,7 @@
     if (number != pull_number_) {
       return;
     }
-    // Not answered. The next claim, with a peer's next probe, starts another pull.
+    // No reply. The next claim, which comes with a peer's next probe, starts another pull.
     counters_["table_pull_timeouts_total"]++;
     pulling_from_.reset();
     wanted_ = 0;
@@ -296,7 +298,7 @@
   }
   const std::uint64_t before = table_.revision();
   const bool news = take(message.since, message.up_to, changes, false);
-  // What is known to be behind is not worth telling: the next delta follows at once.
+  // A revision that is known to be behind is not announced, as the next delta follows immediately.
   if (news && table_.revision() >= wanted_) {
     announce();
   }
@@ -315,7 +317,7 @@
     const bool goes_on = table_.revision() > before && is_far_behind() && is_near_ && is_near_(sender);
     pull(goes_on ? sender : claimant_);
   } else {
-    wanted_ = 0;  // the claimant does not hold what it claimed; asking again at once would not end
+    wanted_ = 0;  // the claimant does not hold the claimed revision; immediate retries would never end
   }
 }
 
--- a/src/config/versioned_table.hpp
+++ b/src/config/versioned_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file A replicated map of versioned entries, and its spreading from node to node.
+/// @file A replicated map of versioned entries, and its replication between nodes.
 
 #include <algorithm>
 #include <cstdint>
@@ -22,33 +22,33 @@
   auto operator<=>(const EntryKey&) const = default;
 };
 
-/// A declared object or a machine at one revision of its source.
+/// A declared object or a machine at one revision of the source of its table.
 struct Entry {
   EntryKey key;
   std::string body;            ///< JSON text.
-  std::uint64_t revision = 0;  ///< Position in the one order of all changes of the source.
+  std::uint64_t revision = 0;  ///< Position in the total order of the source's changes.
   bool deleted = false;
 };
 
-/// The state of the source after some revision. Holds the latest entry of every key, deleted
-/// ones too, so that the changes after any revision can be told. Not thread safe.
+/// The state of the source after some revision. Holds the latest entry of every key, including deleted
+/// entries, so that the changes after any revision can be listed. Not thread safe.
 class VersionedTable {
  public:
   std::uint64_t revision() const { return revision_; }
   const Entry* find(const EntryKey& key) const;
   /// @return entries of @p kind that are not deleted, in name order.
   std::vector<const Entry*> list(const std::string& kind) const;
-  /// @return the latest entries after @p since in revision order, at most @p limit and those that
-  ///         share the last one's revision.
+  /// @return the latest entries after @p since in revision order: at most @p limit, plus those that
+  ///         have the same revision as the last of them.
   std::vector<const Entry*> changes_after(std::uint64_t since, std::size_t limit) const;
-  /// Takes the changes (since, up_to]. Ignored unless it goes on from what is held.
-  /// @param complete whether @p changes are all entries there are; others are deleted.
+  /// Applies the changes (since, up_to]. Ignores them if they leave a gap after the table's revision.
+  /// @param complete whether @p changes are all entries of the source; other entries are then marked as deleted.
   /// @return the keys that changed.
   std::vector<EntryKey> apply(std::uint64_t since, std::uint64_t up_to, const std::vector<Entry>& changes,
                               bool complete = false);
   std::size_t size() const { return entries_.size(); }
 
-  /// Lets the simulation leave out the check that keeps older entries from winning.
+  /// The simulation sets this to false to disable the check that an older entry never replaces a newer one.
   bool reject_older = true;
 
  private:
@@ -56,13 +56,13 @@
   void delete_missing(std::uint64_t up_to, const std::vector<Entry>& present, std::vector<EntryKey>& changed);
 
   std::map<EntryKey, Entry> entries_;
-  /// Entries that were found missing at the same time share a revision.
+  /// Entries that one complete list showed as deleted share a revision.
   std::set<std::pair<std::uint64_t, EntryKey>> by_revision_;
   std::uint64_t revision_ = 0;
 };
 
-/// Spreads one table: a node that learns of a later revision pulls the difference, then tells
-/// a few others. Single threaded.
+/// Replicates one table by gossip: a node that learns of a later revision pulls the difference, then
+/// announces its new revision to a few peers. Single threaded.
 class TableReplicator {
  public:
   static constexpr std::uint32_t kUnknownAge = UINT32_MAX;
@@ -71,34 +71,36 @@
 
   TableReplicator(Environment& environment, Counters& counters, wire::TableId id, PeerChoice peers, OnChange on_change);
 
-  /// @return what the table holds, for logs.
+  /// @return the name of the table, for logs.
   std::string_view name() const { return wire::EnumNameTableId(id_); }
   VersionedTable& table() { return table_; }
   const VersionedTable& table() const { return table_; }
 
-  /// Takes changes read from the source and tells peers.
-  /// @param as_of when the source surely had no later change than these.
+  /// Applies changes that this node read from the source and announces them to peers.
+  /// @param as_of time at which the source is known to have had no later change than these.
   void apply_from_source(std::uint64_t since, std::uint64_t up_to, const std::vector<Entry>& changes,
                          bool complete = false, Timestamp as_of = {});
-  /// A watch of the source that waits had brought nothing when this node surely read what had come until @p until.
+  /// Records that a pending watch of the source had delivered nothing up to @p until, a time up to which this node is
+  /// known to have read everything that had arrived.
   void note_unchanged(Timestamp until) { watched_until_ = std::max(watched_until_, until); }
-  /// A peer claims to hold @p revision. A claim may have waited for long before it was read: that it is fresh counts
-  /// only once the peer has answered a question.
-  /// @param age_ms how long ago the source had nothing later, as the peer knew when it sent this.
+  /// Handles a peer's claim that it holds @p revision. A claim may have been queued for long before it is read, so its
+  /// age is trusted only once the peer has answered a request for it.
+  /// @param age_ms time since the source was last known to have no later revision, as of the sending of the claim.
   void on_peer_revision(const PeerAddress& peer, std::uint64_t revision, std::uint32_t age_ms = kUnknownAge);
-  /// What is missing by much is pulled from near peers where one has it: a table of 10,000 back ends is 2 MB, and all
-  /// nodes of a fleet that starts pull it.
-  /// @param is_near whether a peer stands in this node's zone.
+  /// Makes a node that is far behind prefer to pull from peers in its zone: a table of 10,000 back ends is 2 MB, and
+  /// all nodes of a starting fleet pull it.
+  /// @param is_near returns whether a peer is in this node's zone.
   void prefer_near(std::function<bool(const PeerAddress&)> is_near) { is_near_ = std::move(is_near); }
-  /// @return whether a peer has been asked for changes and is to answer yet.
+  /// @return whether a pull from a peer is waiting for its reply.
   bool pulls() const { return pulling_from_.has_value(); }
-  /// Tells @p peers what is held and how old that knowledge is.
+  /// Sends the table's revision and age to @p peers.
   void feed(const std::vector<PeerAddress>& peers);
-  /// @return the latest time at which the source is known to have had nothing later than what is held; zero: never.
+  /// @return the latest time at which the source is known to have had no revision later than the table's; zero: never.
   Timestamp as_of() const { return as_of_; }
-  /// @return during a change and after it: until when the source surely still had what was held before the change.
+  /// @return the time up to which the source is known to have had the revision before the latest change; valid during
+  ///         the change and after it.
   Timestamp unchanged_until() const { return unchanged_until_; }
-  /// @return how long ago as_of() was, in milliseconds; kUnknownAge when never.
+  /// @return the time since as_of() in milliseconds; kUnknownAge if as_of() is zero.
   std::uint32_t age_ms() const;
 
   void handle(const PeerAddress& sender, const wire::TablePullT& message);
@@ -106,19 +108,19 @@
   void handle(const PeerAddress& sender, const wire::RevisionQuestionT& message);
   void handle(const wire::RevisionAnswerT& message);
 
-  /// Lets the simulation take a peer's claim for as fresh as the peer said.
+  /// The simulation sets this to false to trust the age in a peer's claim without asking the peer.
   bool ask_for_age = true;
 
  private:
-  /// @return whether there was news in @p changes, which peers are to be told of.
+  /// @return whether @p changes advanced the table, so that its revision should be announced to peers.
   bool take(std::uint64_t since, std::uint64_t up_to, const std::vector<Entry>& changes, bool complete);
   void announce();
   void pull(const PeerAddress& peer);
-  /// @return whether to leave the claim of @p peer for a while, as a near peer may have the same soon.
+  /// @return whether to ignore the claim of @p peer for now, as a peer in this zone may soon hold the same revision.
   bool waits_for_near(const PeerAddress& peer);
   bool is_far_behind() const;
   void ask_age(const PeerAddress& peer);
-  /// The source had nothing later than what is held @p age_ms before @p asked_at.
+  /// Updates as_of(): the source had no revision later than the table's @p age_ms before @p asked_at.
   void confirm(Timestamp asked_at, std::uint32_t age_ms);
 
   Environment& environment_;
@@ -131,14 +133,15 @@
   Timestamp watched_until_{};
   Timestamp unchanged_until_{};
   std::function<bool(const PeerAddress&)> is_near_;  ///< May be empty.
-  std::optional<Timestamp> near_awaited_until_;      ///< While much is missing and only far peers claim it.
+  std::optional<Timestamp>
+      near_awaited_until_;  ///< Set while this node is far behind and only peers of other zones claim more.
   std::optional<PeerAddress> pulling_from_;
   Timestamp pulled_at_{};
-  std::uint64_t wanted_ = 0;  ///< Latest revision that a peer claims to hold,
-  PeerAddress claimant_;      ///< and that peer.
+  std::uint64_t wanted_ = 0;  ///< Latest revision that a peer claims to hold.
+  PeerAddress claimant_;      ///< The peer that claims wanted_.
   std::uint64_t pull_number_ = 0;
-  std::uint64_t question_ = 0;         ///< Number of the latest question for a peer's age,
-  std::optional<Timestamp> asked_at_;  ///< and when it was asked, while its answer is awaited.
+  std::uint64_t question_ = 0;         ///< Number of the latest request for a peer's age.
+  std::optional<Timestamp> asked_at_;  ///< When that request was sent; empty if no reply is awaited.
   Lifetime lifetime_;
 };
 
--- a/tests/config/objects_test.cpp
+++ b/tests/config/objects_test.cpp
@@ -5,7 +5,7 @@
 using namespace madderdeck;
 using namespace madderdeck::config;
 
-TEST_CASE("objects are checked field by field") {
+TEST_CASE("the fields of objects are validated") {
   REQUIRE(succeeded(check_object("template", "t", R"({"pool":"m","max_tokens":5})")));
   const auto detail = [](const std::string& kind, const std::string& json) {
     const Status status = check_object(kind, "name", json);
@@ -24,13 +24,13 @@
   CHECK(error_of(check_object("tenant", "t", std::string(kMaxObjectBytes + 1, ' '))).kind == ErrorKind::limit_exceeded);
 }
 
-TEST_CASE("a service that may not be repeated takes no batch jobs") {
+TEST_CASE("a template of a non-repeatable service is not available to batch jobs") {
   const auto parsed = parse_template("t", R"({"target":"service","pool":"s","repeatable":false,"batch":true})");
   REQUIRE(succeeded(parsed));
   CHECK_FALSE(value_of(parsed).batch);
 }
 
-TEST_CASE("the group map comes back as it was written") {
+TEST_CASE("a formatted group map parses to the same map") {
   ledger::GroupMap map;
   map.groups.push_back({3, {{NodeId("a"), DiskId("1")}, {NodeId("b"), DiskId("2")}}});
   const auto parsed = parse_group_map(format_group_map(map));
@@ -39,7 +39,7 @@
   CHECK(value_of(parsed).groups[0].replicas == map.groups[0].replicas);
 }
 
-TEST_CASE("parameters are filled in, unknown marks stay") {
+TEST_CASE("placeholders of known parameters are replaced, unknown placeholders stay") {
   Tenant tenant;
   tenant.parameters["hospital"] = "Abdali";
   CHECK(fill_parameters("at {hospital}, {ward} {", tenant) == "at Abdali, {ward} {");
@@ -57,7 +57,7 @@
   CHECK_FALSE(catalog.tenant_by_key("new"));
 }
 
-TEST_CASE("a field that a later version has added does not spoil a back end's entry") {
+TEST_CASE("a back end's entry with a field of a later version is accepted") {
   const auto parsed =
       parse_machine("engine-1", R"({"target":"model","pool":"lm","slots":4,"of_a_later_version":[1,2]})");
   REQUIRE(succeeded(parsed));
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -35,7 +35,7 @@
 }
 }  // namespace
 
-TEST_CASE("good settings are read, flags go over the file") {
+TEST_CASE("valid settings are loaded and flags override the file") {
   const TemporaryFile file(kGood);
   const auto result = load_settings(file.path(), {{"node.zone", "z2"}, {"limits.max_body_bytes", "2048"}});
   REQUIRE(succeeded(result));
@@ -44,7 +44,7 @@
   CHECK(value_of(result).max_body_bytes == 2048);
 }
 
-TEST_CASE("bad settings are named with file, line, key, what was found and what is allowed") {
+TEST_CASE("errors in settings name the file, line, key, found value and allowed values") {
   CHECK(problem_of(kGood + "[limits]\nmax_connections = 0\n")
             .find(".toml:10: limits.max_connections: found 0, allowed is") != std::string::npos);
   CHECK(problem_of(kGood + "[limits]\nmax_connections = \"many\"\n").find("found a value of type string") !=
--- a/tests/config/versioned_table_test.cpp
+++ b/tests/config/versioned_table_test.cpp
@@ -18,7 +18,7 @@
 const PeerAddress kSecond("10.0.0.2:1");
 
 struct Node {
-  /// @param peers that are told of news.
+  /// @param peers the peers that announcements are sent to.
   explicit Node(std::vector<PeerAddress> peers = {}) : others(std::move(peers)) {}
 
   TestEnvironment environment;
@@ -32,7 +32,7 @@
 TEST_CASE("a table never takes an older state, in whatever order changes arrive") {
   rc::prop("any order of deltas ends in the same state",
            [](const std::vector<std::uint8_t>& names, std::uint64_t order) {
-             // One source with a history; deltas cut from it at random arrive repeated and mixed up.
+             // One source with a history: random deltas of it arrive repeatedly and out of order.
              VersionedTable source;
              std::uint64_t revision = 0;
              for (const std::uint8_t name : names) {
@@ -74,8 +74,8 @@
 }
 
 TEST_CASE("a pull that brings nothing is not repeated at once") {
-  // Seeds 42, 328 and 568 of the simulation: two nodes asked each other without end for a
-  // revision that neither had.
+  // Guards against two nodes that endlessly ask each other for a revision that neither has (seeds 42, 328 and 568 of
+  // the simulation).
   Node node;
   node.replicator.on_peer_revision(kFirst, 16);
   REQUIRE(node.environment.sent.size() == 1);
@@ -119,14 +119,14 @@
   CHECK(table.find(kept) != nullptr);
   CHECK(table.find(gone) == nullptr);
   CHECK(table.find(lost) == nullptr);
-  // Entries that share a revision are never parted.
+  // Entries that share a revision are always sent in the same delta.
   CHECK(table.changes_after(3, 1).size() == 2);
 }
 
-// Real processes, an upgrade from two landings before and back (seed 23): each node of the earlier version that starts
-// beside newer ones says 'backend_listed state=gone' of all engines within a millisecond of its start, and
-// 'request_given_up reason=unavailable sends=0' from then on (217 of 2,015 live calls). The newer nodes' entries have a
-// field more, and the earlier version refuses entries with fields that it does not know.
+// Guards against entries that nodes of an earlier version reject. In an upgrade and downgrade of real processes (seed
+// 23), each earlier node that started beside newer ones logged 'backend_listed state=gone' for all engines within a
+// millisecond, then 'request_given_up reason=unavailable sends=0' (217 of 2,015 live calls): newer nodes' entries had
+// an additional field, and the earlier version rejects entries with unknown fields.
 TEST_CASE("a node of an earlier version is told entries that it can read, others the whole") {
   Node node;
   const std::string body = R"({"target":"model","pool":"lm","state":"live","started_ms":7})";
@@ -141,8 +141,8 @@
   CHECK(told_for(0) == R"({"target":"model","pool":"lm","state":"live"})");
 }
 
-// A fleet of 10,000 back ends that starts: each node pulled 417 deltas of 24 entries and told three peers of each,
-// 1,251 notices of which all but the last were of no use to anybody.
+// Guards against small deltas that are all announced. In a starting fleet of 10,000 back ends, each node pulled 417
+// deltas of 24 entries and announced each to three peers: 1,251 announcements, of which only the last were useful.
 TEST_CASE("a node that starts learns of 10,000 back ends in few exchanges, and tells its peers of the last") {
   constexpr std::uint64_t kBackEnds = 10'000;
   constexpr std::size_t kMostExchanges = 40;
