--- a/src/common/counters.hpp
+++ b/src/common/counters.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Named counters and gauges of one node. Each limit, retry and drop has its own.
+/// @file Named counters and gauges of one node. Each limit, retry and drop has a separate counter.
 
 #include <cstdint>
 #include <map>
@@ -7,10 +7,10 @@
 
 namespace madderdeck {
 
-/// A value that grows (counter) or is set (gauge).
+/// Value of a metric: a counter only increases, a gauge can be set to any value.
 using CounterValue = std::int64_t;
 
-/// Registry of named values. Not thread safe; a reference stays valid for the registry's life.
+/// Registry of named values. Not thread safe; references to values stay valid for the lifetime of the registry.
 class Counters {
  public:
   /// @param name Prometheus name without the "madderdeck_" prefix; a name that ends in
--- a/src/common/decision_log.hpp
+++ b/src/common/decision_log.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file What decision logic tells on-call engineers: one record for each decision that touches
-/// a request or changes what the node believes. The daemon writes them as JSON lines.
+/// @file Interface through which decision logic logs for on-call engineers: one record for each decision that
+/// affects a request or changes the node's view of the fleet. The daemon writes the records as JSON lines.
 
 #include <cstdint>
 #include <initializer_list>
@@ -11,10 +11,10 @@
 
 namespace madderdeck {
 
-/// A value of a decision's field.
+/// Value of a field in a decision record.
 using DecisionValue = std::variant<std::string_view, std::int64_t, double, bool>;
 
-/// One named input or outcome. Names carry their unit ("left_ms").
+/// A named input or result of a decision. The name includes the unit ("left_ms").
 struct DecisionField {
   std::string_view name;
   DecisionValue value;
@@ -29,14 +29,14 @@
       : name(field), value(static_cast<std::int64_t>(number)) {}
 };
 
-/// Takes decisions. Implementations never block the caller. Not thread safe.
+/// Receives decision records. Implementations never block the caller. Not thread safe.
 class DecisionLog {
  public:
   virtual ~DecisionLog() = default;
   virtual void record(std::string_view event, std::initializer_list<DecisionField> fields) = 0;
 };
 
-/// Drops everything; for tests and simulations that need no log.
+/// Discards all records; for tests and simulations that need no log.
 class NoDecisionLog : public DecisionLog {
  public:
   void record(std::string_view, std::initializer_list<DecisionField>) override {}
--- a/src/common/environment.hpp
+++ b/src/common/environment.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file What decision logic may ask of its surroundings. The daemon implements it with
+/// @file Interface between decision logic and its runtime environment. The daemon implements it with
 /// Boost.Asio, the simulation with virtual time and a seeded network.
 
 #include <chrono>
@@ -12,7 +12,7 @@
 namespace madderdeck {
 
 using Duration = std::chrono::microseconds;
-/// Monotonic time since an arbitrary origin.
+/// Monotonic time since an arbitrary epoch.
 using Timestamp = std::chrono::microseconds;
 
 using namespace std::chrono_literals;
@@ -23,25 +23,25 @@
  public:
   virtual ~Environment() = default;
 
-  /// @return monotonic time. It keeps running while the process is frozen and while the machine is suspended.
+  /// @return monotonic time, which also advances while the process is stopped and while the machine is suspended.
   virtual Timestamp now() const = 0;
-  /// @return milliseconds since the Unix epoch, for deadlines that callers state.
+  /// @return milliseconds since the Unix epoch, for deadlines in callers' requests.
   virtual std::uint64_t unix_milliseconds() const = 0;
   /// @return 64 random bits.
   virtual std::uint64_t random() = 0;
-  /// Sends @p message to a peer. Messages may be lost, repeated, delayed and reordered; one that cannot be sent within
-  /// some seconds may be dropped.
+  /// Sends @p message to a peer. Messages may be lost, duplicated, delayed and reordered; a message that cannot be sent
+  /// within a few seconds may be dropped.
   virtual void send(const PeerAddress& to, wire::MessageUnion message) = 0;
-  /// As send(), but @p message has no use for the peer after @p useful_for: it may be dropped then unsent.
+  /// Like send(), but @p message is useless to the peer after @p useful_for and may be dropped if still unsent then.
   virtual void send_within(Duration useful_for, const PeerAddress& to, wire::MessageUnion message) {
     static_cast<void>(useful_for);
     send(to, std::move(message));
   }
-  /// Runs @p task once, @p delay from now.
+  /// Runs @p task once after @p delay.
   virtual void after(Duration delay, std::function<void()> task) = 0;
 };
 
-/// Wraps a typed message and sends it.
+/// Wraps @p message in a MessageUnion and sends it to @p to.
 template <class MessageTable>
 void send_message(Environment& environment, const PeerAddress& to, MessageTable message) {
   wire::MessageUnion body;
@@ -49,7 +49,7 @@
   environment.send(to, std::move(body));
 }
 
-/// Wraps a typed message and sends it while it is useful.
+/// Wraps @p message in a MessageUnion and sends it with Environment::send_within().
 template <class MessageTable>
 void send_message_within(Duration useful_for, Environment& environment, const PeerAddress& to, MessageTable message) {
   wire::MessageUnion body;
@@ -57,10 +57,10 @@
   environment.send_within(useful_for, to, std::move(body));
 }
 
-/// Lets timers and late callbacks find out that their owner is gone.
+/// Prevents timers and late callbacks from running after their owner was destroyed.
 class Lifetime {
  public:
-  /// @return a task that runs @p task only while this object lives.
+  /// @return a function that calls @p task only if this object still exists.
   template <class Task>
   auto guard(Task task) const {
     return [alive = std::weak_ptr<char>(alive_), task = std::move(task)](auto&&... arguments) mutable {
--- a/src/common/error.hpp
+++ b/src/common/error.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Typed failures. Every fallible call returns a std::variant of its value and an Error.
+/// @file Error types. Every function that can fail returns a std::variant of its value and an Error.
 
 #include <string>
 #include <string_view>
@@ -12,21 +12,21 @@
 /// (problem documents, exit codes, counters), so kinds are added but never renamed.
 enum class ErrorKind {
   invalid_argument,    ///< The input is malformed or out of range; retrying cannot help.
-  unauthenticated,     ///< No known tenant goes with the presented key.
-  not_found,           ///< The named thing does not exist.
-  conflict,            ///< Another writer won; the detail names the version that stands.
+  unauthenticated,     ///< The key belongs to no known tenant.
+  not_found,           ///< The named object does not exist.
+  conflict,            ///< Another write came first; the detail names the current version.
   limit_exceeded,      ///< A size, rate or concurrency limit was reached.
-  unavailable,         ///< Nothing was done; a later try may succeed.
+  unavailable,         ///< Nothing was done; a later attempt may succeed.
   ambiguous,           ///< The effect is unknown: it may or may not have taken place.
   cancelled,           ///< The caller or an operator cancelled the work.
-  address_in_use,      ///< A listening address is taken.
+  address_in_use,      ///< A listening address is already in use.
   storage_unwritable,  ///< The data folder cannot be created, locked or written.
-  corrupted,           ///< Stored or received bytes fail their check.
+  corrupted,           ///< Stored or received data fails its integrity check.
   header_too_large,    ///< The head of a request is larger than allowed.
   body_too_large,      ///< The body of a request is larger than allowed.
-  deadline_exceeded,   ///< No whole answer in the time there was.
-  upstream_failed,     ///< The back end broke off or answered with what is no answer.
-  quarantined,         ///< Back ends ended while they ran equal requests; this one is not sent.
+  deadline_exceeded,   ///< No complete answer arrived before the deadline.
+  upstream_failed,     ///< The back end broke off its answer or sent an invalid one.
+  quarantined,         ///< Back ends terminated while they ran equal requests, so this one is not sent.
 };
 
 /// A failure with its kind and a human readable detail.
@@ -35,7 +35,7 @@
   std::string detail;
 };
 
-/// Marks success of a call that yields no value.
+/// Success of a function that returns no value.
 struct Ok {};
 
 template <class Value>
@@ -45,7 +45,7 @@
 /// @return the stable lower-case name of @p kind, for problem documents and logs.
 std::string_view error_kind_name(ErrorKind kind);
 
-/// @return the process exit code the command line uses for @p kind (10 and above).
+/// @return the process exit code of the command line programs for @p kind (10 and above).
 int exit_code_for(ErrorKind kind);
 
 template <class Value>
--- a/src/common/hash.hpp
+++ b/src/common/hash.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Hashing that is equal on every machine, and rendezvous choice built on it.
+/// @file Platform-independent hashing, and rendezvous hashing based on it.
 
 #include <xxhash.h>
 
@@ -15,8 +15,8 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-/// @return the rendezvous weight of two stable hashes. For ranking many keys against many
-/// candidates, whose hashes are then computed once.
+/// @return the rendezvous weight of two stable hashes. Callers that rank many keys against many
+/// candidates use this overload to compute each hash only once.
 inline std::uint64_t rendezvous_weight(std::uint64_t key_hash, std::uint64_t candidate_hash) {
   std::uint64_t mixed = key_hash ^ (candidate_hash * 0x9E3779B97F4A7C15ULL);
   mixed = (mixed ^ (mixed >> 32)) * 0xD6E8FEB86659FD93ULL;
@@ -24,12 +24,12 @@
   return mixed ^ (mixed >> 32);
 }
 
-/// @return the rendezvous weight of the pair; the candidate of greatest weight owns the key.
+/// @return the rendezvous weight of the pair; the candidate with the highest weight owns the key.
 inline std::uint64_t rendezvous_weight(std::string_view key, std::string_view candidate) {
   return rendezvous_weight(stable_hash(key), stable_hash(candidate));
 }
 
-/// @return sixteen lower-case hexadecimal digits.
+/// @return @p value as sixteen lower-case hexadecimal digits.
 std::string hex64(std::uint64_t value);
 
 }  // namespace madderdeck
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kBatchTime = 100ms;  ///< Lines within it are written together: a wake-up costs more than a line.
+constexpr auto kBatchTime = 100ms;  ///< Lines within this time are written together: a wake-up costs more than a line.
 
 log4cxx::LoggerPtr logger() {
   static const log4cxx::LoggerPtr instance = log4cxx::Logger::getLogger("madderdeck");
@@ -92,14 +92,14 @@
   return line;
 }
 
-/// The queue and its thread. Thread safe.
+/// Queue of log lines and the thread that writes them. Thread safe.
 class LogQueue {
  public:
   LogQueue(LogLevel least, LogLimits limits) : least_(least), limits_(limits), writer_([this] { write_lines(); }) {}
 
   bool wanted(LogLevel level) const { return level >= least_; }
 
-  /// @param bounded whether the line counts against the limits of a second.
+  /// @param bounded whether the line is dropped once the limits per second are reached.
   void push(std::string line, bool bounded) {
     const std::lock_guard lock(mutex_);
     const auto now = std::chrono::steady_clock::now();
@@ -136,7 +136,7 @@
     if (done) {
       writer_.join();
     } else {
-      writer_.detach();  // its reader does not read; the process ends all the same
+      writer_.detach();  // the log's reader does not read; the process must still be able to exit
     }
   }
 
@@ -181,7 +181,7 @@
   std::thread writer_;
 };
 
-/// Null before the log is configured and after it is stopped: lines are dropped then.
+/// Null before configure_logging() and after stop_logging(); lines are dropped while it is null.
 LogQueue* process_queue = nullptr;
 
 }  // namespace
@@ -198,7 +198,7 @@
   log4cxx::Logger::getRootLogger()->addAppender(appender);
   log4cxx::Logger::getRootLogger()->setLevel(log4cxx::Level::getInfo());
   stop_logging();
-  process_queue = new LogQueue(level, limits);  // outlives all callers
+  process_queue = new LogQueue(level, limits);  // never deleted, as it has to outlive all callers
 }
 
 void log_event(LogLevel level, std::string_view event, std::initializer_list<DecisionField> fields) {
--- a/src/common/strong_id.hpp
+++ b/src/common/strong_id.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Identifiers that cannot be mixed up with one another.
+/// @file Identifier types that do not convert to one another.
 
 #include <compare>
 #include <functional>
@@ -31,11 +31,11 @@
 
 /// Name of a node, unique in the fleet.
 using NodeId = StrongId<struct NodeIdTag>;
-/// "ip:port" at which a node hears its peers, over both UDP and TCP.
+/// "ip:port" at which a node listens for its peers, on both UDP and TCP.
 using PeerAddress = StrongId<struct PeerAddressTag>;
-/// Identity of one data folder; a replaced or emptied folder has another one.
+/// Identity of one data folder; a replaced or emptied folder has a different identity.
 using DiskId = StrongId<struct DiskIdTag>;
-/// "ip:port" of a back end; it is also the back end's name.
+/// "ip:port" of a back end, which is also its name.
 using BackendId = StrongId<struct BackendIdTag>;
 /// Name of a batch job.
 using JobId = StrongId<struct JobIdTag>;
--- a/src/common/word_numbers.hpp
+++ b/src/common/word_numbers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Numbers for words of which only the latest counts.
+/// @file Sequence numbers for reports of which only the latest counts.
 
 #include <cstdint>
 
@@ -7,7 +7,8 @@
 
 namespace madderdeck {
 
-/// Each number is greater than those before, also than those that this node gave before it started anew.
+/// Generates increasing sequence numbers. Numbers after a restart are greater than those before it, as the sequence
+/// starts at the current Unix time.
 class word_numbers {
  public:
   explicit word_numbers(const Environment& environment)
@@ -16,15 +17,16 @@
   std::uint64_t next() { return ++last_; }
 
  private:
-  /// More words than a node sends in a millisecond of its life, on average.
+  /// Leaves 2^12 numbers per millisecond since the start: more than the average number of reports that a node sends.
   static constexpr unsigned kBitsPerMillisecond = 12;
   std::uint64_t last_;
 };
 
-/// Remembers the greatest number of one sender. Words of a version that gives none (0) all count.
+/// Keeps the highest sequence number of one sender. Reports from a version without numbers (0) are always accepted.
 class latest_word {
  public:
-  /// @return whether word @p number is later than all before; remembers it then.
+  /// Accepts report @p number if it is later than all reports before it.
+  /// @return whether it was accepted.
   bool take(std::uint64_t number) {
     const bool later = number == 0 || number > last_;
     last_ = later && number != 0 ? number : last_;
