--- a/src/node/asio_environment.cpp
+++ b/src/node/asio_environment.cpp
@@ -9,10 +9,10 @@
 using udp = asio::ip::udp;
 
 constexpr std::size_t kMaxFrameBytes = 32 * 1024 * 1024;
-constexpr std::chrono::seconds kFrameTime{5};  ///< For a frame to arrive and be answered, beside the time of its bytes.
-/// Slowest peer to which a long frame is not given up.
+constexpr std::chrono::seconds kFrameTime{5};  ///< Timeout for a frame's response, plus the time to send its bytes.
+/// Lowest rate at which a peer can receive a long frame before it times out.
 constexpr std::size_t kLeastBytesPerSecond = 256 << 10;
-constexpr Duration kLossLinePause = 1s;  ///< Between two log lines about lost frames.
+constexpr Duration kLossLinePause = 1s;  ///< Minimum time between two log lines about lost frames.
 constexpr unsigned kTaken = 204;
 
 bool is_datagram(wire::Message type) {
@@ -23,8 +23,9 @@
          type == wire::Message::SuspicionTaken || type == wire::Message::MemberDigests;
 }
 
-/// Of single calls: what is lost is said again within a second, or its sender goes on without an answer after some
-/// milliseconds. A connection and an answer for each would be most of a small node's work.
+/// @return whether the message is about a single call. If such a message is lost, it is repeated within a second, or
+/// its sender continues without a reply after some milliseconds. A connection and a response for each of them would be
+/// most of a small node's work.
 bool is_of_a_call(wire::Message type) {
   return type == wire::Message::PlaceRequest || type == wire::Message::PlaceReply ||
          type == wire::Message::PlaceWithdrawal || type == wire::Message::PlaceRoom ||
@@ -32,7 +33,7 @@
          type == wire::Message::EngineFailure || type == wire::Message::RateRequest || type == wire::Message::RateReply;
 }
 
-/// What passes every network in one packet; longer messages go by connections.
+/// Size that fits into one packet on every network; longer messages are sent over connections.
 constexpr std::size_t kMostDatagramBytes = 1'200;
 
 std::mt19937_64 seeded_generator() {
@@ -128,7 +129,7 @@
   bool& sending = outbox.sending.at(static_cast<std::size_t>(lane));
   if (!sending) {
     sending = true;
-    // Messages of the same turn of the loop share a frame.
+    // Deferred, so that all messages of this iteration of the event loop share a frame.
     asio::post(context_, [this, to, lane] { flush(to, lane); });
   }
 }
--- a/src/node/asio_environment.hpp
+++ b/src/node/asio_environment.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file Environment of the daemon: real clock and timers, UDP for membership, HTTP between
-/// peers for the rest.
+/// @file Environment of the daemon: system clock and timers, UDP for membership and messages about single calls,
+/// HTTP between peers for all other messages.
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -19,10 +19,10 @@
 
 namespace madderdeck::node {
 
-/// Where peers send their messages; part of the peer protocol.
+/// HTTP path to which peers post their messages; part of the peer protocol.
 inline constexpr char kPeerMessagesPath[] = "/peer/messages";
 
-/// Single threaded, on one io_context.
+/// Environment on one io_context. Single threaded.
 class AsioEnvironment : public Environment {
  public:
   using clock = net::boot_clock;
@@ -30,10 +30,10 @@
 
   AsioEnvironment(boost::asio::io_context& context, Counters& counters, net::HttpClient& client, PeerAddress self);
 
-  /// Tells @p log of frames that were lost; it outlives this object.
+  /// Sets the log for lost frames. @p log has to outlive this object.
   void set_log(DecisionLog& log) { log_ = &log; }
 
-  /// Opens the UDP socket and the peer HTTP server on this node's peer address.
+  /// Opens the UDP socket and the peer HTTP server at this node's peer address.
   Status listen(OnMessage on_message);
 
   Timestamp now() const override;
@@ -74,7 +74,7 @@
   std::map<PeerAddress, Outbox> outboxes_;
   DecisionLog* log_ = nullptr;
   Timestamp loss_said_at_{};
-  std::size_t losses_ = 0;  ///< Frames lost since the last line about them.
+  std::size_t losses_ = 0;  ///< Frames lost since the last log line about lost frames.
   std::mt19937_64 generator_;
 };
 
--- a/src/node/daemon.cpp
+++ b/src/node/daemon.cpp
@@ -21,18 +21,19 @@
 
 namespace asio = boost::asio;
 constexpr Duration kDrainCheck = 50ms;
-constexpr Duration kReadinessCheck = 250ms;  ///< For the log alone: probes are answered by what holds then.
-/// Callers measure a connection's rest from a little later than this node does.
+constexpr Duration kReadinessCheck = 250ms;  ///< Only for the log: readiness probes get the current state.
+/// Added to the idle timeout, since callers start to measure a connection's idle time a little later than this node.
 constexpr std::chrono::milliseconds kIdleMargin{500};
-constexpr std::size_t kSeedsNamed = 8;  ///< In a line.
+constexpr std::size_t kSeedsNamed = 8;  ///< Maximum number of seeds in a log line.
 constexpr std::size_t kProbeBodyBytes = 4096;
-/// A node whose disk is not open by then joins without it.
+/// A node whose disk is not open after this time joins without it.
 constexpr Duration kOpeningPatience = disk_watch::kSlowAfter;
-/// What is confirmed stands on two disks or more, whatever may be lost; more than seven cost more than they save.
+/// With at least three replicas, a confirmed record is on two disks or more, whatever number of losses is configured;
+/// more than seven replicas cost more than they save.
 constexpr std::size_t kLeastReplicas = 3;
 constexpr std::size_t kMostReplicas = 7;
 
-/// Owns everything a node needs, in the order in which it must be destroyed.
+/// Owns all parts of a node. The order of the members sets the order of their destruction.
 class Daemon {
  public:
   Daemon(const config::Settings& settings, Integration& integration)
@@ -55,7 +56,7 @@
       log_event(LogLevel::error, "node_not_started",
                 {{"node", settings_.id}, {"kind", error_kind_name(error.kind)}, {"error", error.detail}});
       stop_logging();
-      background_.join();  // an opening of the disk may be under way
+      background_.join();  // the disk may still be opening
       return prepared;
     }
     if (disk_is_awaited_) {
@@ -111,7 +112,7 @@
                               std::chrono::milliseconds(routes.limits.idle_timeout_ms) + kIdleMargin);
     };
     core_->on_member_change = [this](const wire::MemberT& member) {
-      // A node that starts hears of the whole fleet at once; a line for each member would be most of its log.
+      // A starting node learns of all members at once; one line per member would be most of its log.
       if (!fleet_known_ && member.state == wire::MemberState::Alive) {
         return;
       }
@@ -156,7 +157,7 @@
     return Ok{};
   }
 
-  /// The node joins without its disk, which refuses writes, or has not answered at all.
+  /// Reports the disk as refused when the node joins without it: the disk refuses writes or has not responded yet.
   void await_disk(const std::optional<Result<ledger::OpenedDisk>>& outcome) {
     if (outcome) {
       note_disk_refused(error_of(*outcome));
@@ -178,7 +179,7 @@
     log_event(LogLevel::error, "disk_damaged", {{"error", error.detail}, {"took_ms", disk_opening_ms()}});
   }
 
-  /// On any thread: the node's may wait for the disk.
+  /// Called on any thread, as the node's thread may be waiting for the disk.
   void note_disk_slow(const slow_disk_operation& slow) {
     log_event(LogLevel::warning, slow.has_ended ? "disk_slow_ended" : "disk_slow",
               {{"operation", ledger::disk_operation_name(slow.operation)},
@@ -262,7 +263,7 @@
     options.self.api_address = settings_.api_address;
     options.self.roles = settings_.role_bits();
     options.self.capacity = settings_.capacity();
-    // A restarted process must outrank what is still said about its predecessor.
+    // The incarnation of a restarted process must be higher than the one that peers still know of its predecessor.
     options.self.incarnation = environment_.unix_milliseconds();
     options.load_poll = std::chrono::milliseconds(settings_.load_poll_ms);
     options.loads_pushed = settings_.loads_pushed != 0;
@@ -275,7 +276,7 @@
     options.key_trust.useful_for = std::chrono::milliseconds(settings_.tenant_keys_useful_ms);
     options.key_trust.fail_closed = settings_.tenant_keys_fail_closed != 0;
     if (options.key_trust.fail_closed) {
-      // A watch that shows no change for long leaves the age of what is known uncertain for as long.
+      // While a watch waits without a change, the age of the configuration is uncertain.
       options.controller.watch_wait = std::min(options.controller.watch_wait, options.key_trust.useful_for / 3);
     }
     options.membership.period = std::chrono::milliseconds(settings_.membership_period_ms);
@@ -318,7 +319,7 @@
     return succeeded(listening) ? listen_probes() : listening;
   }
 
-  /// Readiness and metrics at addresses of their own, where the settings name some.
+  /// Serves readiness probes and metrics at separate addresses, if the settings name them.
   Status listen_probes() {
     for (const std::string& address : {settings_.probe_address, settings_.metrics_address}) {
       if (address.empty()) {
@@ -339,7 +340,8 @@
     return Ok{};
   }
 
-  /// Settings that may change while the node runs are taken up; others wait for the next start.
+  /// Applies the settings that can change at run time (the seeds) on each reload signal; other settings take effect at
+  /// the next start.
   void await_reload() {
     reload_signal_.async_wait([this](boost::system::error_code failure, int) {
       if (failure) {
@@ -373,7 +375,8 @@
     }
   }
 
-  /// Readiness goes first; after the grace time no new work; then what runs may end.
+  /// Starts the drain: the node is no longer ready at once, accepts no new work after the grace period, and then
+  /// waits until running calls have ended.
   void begin_drain() {
     if (api_context_->drain_started) {
       return;
@@ -419,7 +422,7 @@
   asio::thread_pool background_;
   std::unique_ptr<ledger::RocksDbStorage> storage_;
   std::unique_ptr<ledger::disk_opener> disk_opener_;
-  bool disk_is_awaited_ = false;  ///< It was not open when the node joined.
+  bool disk_is_awaited_ = false;  ///< The disk was not open yet when the node joined.
   std::unique_ptr<NodeCore> core_;
   std::unique_ptr<gateway::ApiContext> api_context_;
   std::unique_ptr<CallerInterface> api_;
@@ -430,7 +433,7 @@
   Timestamp drain_deadline_{};
   Timestamp disk_refused_at_{};
   Timestamp disk_opening_since_{};
-  Status failure_ = Ok{};  ///< Why the node ends by itself.
+  Status failure_ = Ok{};  ///< Why the node stopped without being told to; Ok after a planned stop.
   bool fleet_known_ = false;
   bool was_ready_ = false;
 };
--- a/src/node/disk_watch.hpp
+++ b/src/node/disk_watch.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Tells of operations of the disk that last for long, while they last.
+/// @file Reports slow disk operations, also while they are still running.
 
 #include <array>
 #include <chrono>
@@ -12,25 +12,26 @@
 
 namespace madderdeck::node {
 
-/// An operation of the disk that has been under way for long.
+/// A disk operation that takes at least disk_watch::kSlowAfter.
 struct slow_disk_operation {
   ledger::disk_operation operation = ledger::disk_operation::open;
-  std::chrono::milliseconds lasts{};  ///< So far, or in all where it has ended.
-  std::size_t callers_waiting = 0;    ///< For a sync.
+  std::chrono::milliseconds lasts{};  ///< Duration so far; total duration if the operation has ended.
+  std::size_t callers_waiting = 0;    ///< Callers that wait for a sync.
   bool has_ended = false;
 };
 
-/// Looks from a thread of its own, since the node's may be the one that waits for the disk.
+/// Checks the running operations on a separate thread, since the node's thread may be waiting for the disk.
 class disk_watch : public ledger::disk_observer {
  public:
   using clock = std::chrono::steady_clock;
   using Tell = std::function<void(const slow_disk_operation&)>;
 
-  /// An operation is told of after this long, then after twice as long, and so on, and when it has ended.
+  /// An operation is first reported after this time, then each time its duration has doubled (but at least every
+  /// kMostBetweenTellings), and when it has ended.
   static constexpr std::chrono::milliseconds kSlowAfter{1000};
   static constexpr std::chrono::milliseconds kMostBetweenTellings{60'000};
 
-  /// @param tell called on any thread.
+  /// @param tell called with each slow operation, on any thread.
   explicit disk_watch(Tell tell);
   ~disk_watch() override;
   disk_watch(const disk_watch&) = delete;
--- a/src/node/held_signals.cpp
+++ b/src/node/held_signals.cpp
@@ -1,4 +1,5 @@
-/// @file Linked into the programs of a node themselves, not into a library: runs before all other code of the process.
+/// @file Blocks or ignores signals before any other code of the process runs. This file is linked directly into the
+/// node programs, not into a library.
 
 #include "node/held_signals.hpp"
 
@@ -6,8 +7,8 @@
 
 namespace {
 
-/// Left as they are: what asks for the end, what means a crash, and what the kernel's default does not end a process
-/// by.
+/// @return whether the signal keeps its disposition: signals that request termination, signals of a crash, and signals
+/// that do not terminate a process by default.
 bool is_left(int number) {
   for (const int left : {SIGTERM, SIGINT, SIGKILL, SIGSEGV, SIGABRT, SIGBUS, SIGFPE, SIGILL, SIGSYS, SIGTRAP, SIGSTOP,
                          SIGTSTP, SIGTTIN, SIGTTOU, SIGCONT, SIGCHLD, SIGURG, SIGWINCH}) {
@@ -18,9 +19,10 @@
   return false;
 }
 
-/// The default of all others ends the process. The C library keeps two numbered ones for itself and refuses them here.
+/// Blocks the reload signal and ignores all other signals that would terminate the process by default. The C library
+/// reserves two real-time signals, for which sigaction() fails here.
 void hold_signals(int, char**, char**) {
-  // Threads that are started later block it, too, so that it waits for the one that releases it.
+  // Later threads inherit the blocked signal, so it stays pending until a thread calls release_reload_signal().
   sigset_t reload;
   ::sigemptyset(&reload);
   ::sigaddset(&reload, madderdeck::node::kReloadSignal);
@@ -34,7 +36,7 @@
   }
 }
 
-/// Called once the program is loaded, before the static objects of any library are made.
+/// Called after the program is loaded, before the static objects of any library are constructed.
 [[gnu::section(".preinit_array"), gnu::used]] void (*hold_signals_first)(int, char**, char**) = hold_signals;
 
 }  // namespace
--- a/src/node/held_signals.hpp
+++ b/src/node/held_signals.hpp
@@ -1,15 +1,16 @@
 #pragma once
-/// @file Signals of a program that starts: which may end it, and which have to wait until it can take them up.
+/// @file Signals during the start of a program: which of them terminate it, and which stay pending until it can handle
+/// them.
 
 #include <signal.h>
 
 namespace madderdeck::node {
 
-/// Asks a node to take up changed settings. Programs that link held_signals.cpp have it wait from their first line on.
+/// Makes a node reload its settings. In programs that link held_signals.cpp it is blocked before any other code runs.
 constexpr int kReloadSignal = SIGHUP;
 
-/// Lets the reload signal through to the calling thread: one that came meanwhile is delivered now. Its handler has to
-/// stand by then.
+/// Unblocks the reload signal on the calling thread; a pending one is delivered immediately. Its handler must have been
+/// installed before.
 inline void release_reload_signal() {
   sigset_t reload;
   ::sigemptyset(&reload);
--- a/src/node/integration.hpp
+++ b/src/node/integration.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file How a node speaks with what is outside the fleet. The program's own interface is one
-/// integration; an adapter for another platform is another.
+/// @file Interfaces between a node and systems outside the fleet. The program's native interface is one
+/// implementation; an adapter for another platform is another.
 
 #include <memory>
 #include <optional>
@@ -16,33 +16,34 @@
 
 namespace madderdeck::node {
 
-/// Connections to back ends. The returned objects live as long as this one.
+/// Connections to back ends. The returned objects have the lifetime of this object.
 class BackendConnections {
  public:
   virtual ~BackendConnections() = default;
   virtual routing::BackendClient& client() = 0;
-  /// @return null where no requests are passed on.
+  /// @return null if no requests are forwarded.
   virtual forwarding::Upstream* upstream() = 0;
-  /// Called once, before any call is started.
+  /// Sets the directory of back ends. Called once, before any call starts.
   virtual void attach(forwarding::BackendDirectory& directory) = 0;
 };
 
-/// Answers callers and operators.
+/// Handles the requests of callers and operators.
 class CallerInterface {
  public:
   virtual ~CallerInterface() = default;
   virtual void handle(const gateway::ExchangePointer& exchange) = 0;
-  /// @return the response to a request that the server itself refuses.
+  /// @return the response to a request that the HTTP server itself rejects.
   virtual net::HttpResponse refusal(const Error& error) const = 0;
-  /// @return the answer to a request that its head alone shows to be refused; nothing for all others.
+  /// @return the response to a request that is rejected because of its head, before its body is read; nullopt for all
+  ///         other requests.
   virtual std::optional<net::HttpResponse> answer_head(const net::HttpRequest& /*request*/) const {
     return std::nullopt;
   }
-  /// @return whether the request's body is taken piece by piece.
+  /// @return whether the body of @p request is processed in chunks as it arrives.
   virtual bool streams_body(const net::HttpRequest& request) const = 0;
 };
 
-/// Makes the parts that know the outside.
+/// Factory of the parts of a node that depend on systems outside the fleet.
 class Integration {
  public:
   virtual ~Integration() = default;
@@ -52,7 +53,7 @@
   virtual std::unique_ptr<CallerInterface> make_api(gateway::ApiContext& context) = 0;
 };
 
-/// @return the program's own interface.
+/// @return the integration for the program's native interface.
 std::unique_ptr<Integration> own_integration();
 
 }  // namespace madderdeck::node
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,4 +1,4 @@
-/// @file madderdeckd: the node with the program's own interface.
+/// @file madderdeckd: the node with the program's native interface.
 
 #include "node/daemon.hpp"
 
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -4,23 +4,26 @@
 
 namespace madderdeck::node {
 namespace {
-constexpr Duration kActivityDelay = 2ms;   ///< Changes within it share a message.
-constexpr Duration kActivityQuiet = 20ms;  ///< A falling count is told this late.
+constexpr Duration kActivityDelay = 2ms;   ///< Changes within this time share a message.
+constexpr Duration kActivityQuiet = 20ms;  ///< Delay for reports of a lower count.
 constexpr Duration kActivityRefresh = 1s;
 constexpr Duration kStarting = 2s;
 constexpr Duration kQueueReports = 250ms;
 constexpr int kPollsSavedByCoordination = 4;
-/// What a dead node had sent runs on for some seconds, and only the back ends tell of it.
+/// Requests that a dead node had sent keep running for some seconds, and only the back ends' load reports show them.
 constexpr Duration kAskedAfterDeath = 5s;
-/// Up to so many nodes a whole list of back ends is small, and a node that starts takes it from anybody.
+/// In fleets of at most this many nodes the complete list of back ends is small, so a starting node pulls it from any
+/// peer.
 constexpr std::size_t kFewNodes = 200;
-/// A node that was declared dead by mistake has refuted it by then, also where 30 in 100 messages are lost.
+/// Time for which dead nodes still get suspicion messages. A node that was declared dead by mistake has refuted it
+/// after this time, even if 30 in 100 messages are lost.
 constexpr Duration kDeadStillTold = 10s;
-/// A node that was heard within this time is there, whatever is said of it.
+/// A node from which this node received a message within this time counts as reachable, whatever others report of it.
 constexpr Duration kHeardLately = 1s;
-/// A node that lost sight of most others within this time takes itself for cut off; later they are gone.
+/// A node to which most others became unreachable within this time assumes that it is disconnected itself; members that
+/// died longer ago count as gone.
 constexpr Duration kCutOffTime = 60s;
-constexpr Duration kUnknownKindLines = 10s;  ///< From one line about messages of unknown kinds to the next.
+constexpr Duration kUnknownKindLines = 10s;  ///< Minimum time between log lines about messages of unknown kinds.
 }  // namespace
 
 using membership::has_role;
@@ -114,7 +117,7 @@
         [this](const NodeId& node) { return members.address_of(node); }, options.guards.replica);
     replica_journal = std::make_unique<ledger::replica_journal>(environment, log, *replica);
     if (options.guards.changes.members_miss_silent_ones) {
-      // Of a node that misses most of the others the silence is likely its own.
+      // If most of the fleet is unreachable, this node itself is probably disconnected, so no member counts as gone.
       replica->is_there = [this](const ledger::ReplicaIdentity& member) {
         return is_there(member) || misses_most_of_fleet();
       };
@@ -123,7 +126,8 @@
   group_health = std::make_unique<ledger::group_health>(environment, counters, log, ledger, replica.get(),
                                                         [this](const NodeId& node) { return members.find(node); });
   group_health->judge_losses(
-      // Not a deployment's own, shorter time: members are replaced after it, and most of their machines come back.
+      // Uses the fleet policy's time rather than a deployment's shorter one: members are replaced after that time, but
+      // most of their machines come back.
       [this]() -> Duration { return std::chrono::seconds(catalog.policy().replace_ledger_node_after_s); },
       [this](const NodeId& node) { return retirement ? retirement->is_emptied(node) : std::nullopt; });
   if (has_role(options.self, Role::scheduler)) {
@@ -306,8 +310,8 @@
 }
 
 std::vector<PeerAddress> NodeCore::suspicion_peers() const {
-  // Who only seems dead goes on sending: two groups of nodes that took each other for dead let a request end three
-  // engines each.
+  // Includes recently dead nodes, since a node that is wrongly declared dead keeps sending requests: in two groups of
+  // nodes that declared each other dead, one request terminated three engines in each group.
   std::set<PeerAddress> others;
   for (const wire::MemberT* member : members.others_not_long_dead(kDeadStillTold)) {
     if (has_role(*member, Role::gateway) || has_role(*member, Role::scheduler) || has_role(*member, Role::ledger)) {
@@ -366,7 +370,7 @@
 }
 
 void NodeCore::match_replica_and_client() {
-  // Its disk may know of later epochs than the store, which nobody else may know any more.
+  // The replica's disk may hold later epochs than the platform's store, and perhaps no other node knows them any more.
   for (const auto& [group, description] : replica->descriptions()) {
     ledger.learn(group, description);
   }
@@ -410,7 +414,7 @@
 void NodeCore::on_machines_changed(const std::vector<config::EntryKey>& keys) {
   registry.update(machines.table(), keys, machines.unchanged_until());
   tell_configured();
-  // A node that starts learns of all back ends at once: a line for each would be most of its log.
+  // A starting node learns of all back ends at once; one line per back end would be most of its log.
   constexpr std::size_t kMostListedApart = 16;
   const bool apart = keys.size() <= kMostListedApart;
   if (!apart) {
@@ -428,8 +432,9 @@
                   {"revision", machines.table().revision()},
                   {"list_age_ms", machines.age_ms()}});
     }
-    // What this node and others sent in an earlier life may still run; nobody else tells of it.
-    // In a large fleet the dispatchers do, or every start would be a load report for each pair of node and engine.
+    // Requests that this node and others sent in an earlier incarnation may still run, and only load reports show them.
+    // In a large fleet the dispatchers fetch the reports; otherwise each start would cause one load report for each
+    // pair of node and engine.
     const bool few = registry.backends().size() <= routing::kMostBackendsBeforeFleet;
     const bool just_started = few && environment.now() - started_at_ < kStarting;
     if (just_started && shares_calls_ && !duties.divided() && forwarder && backend != nullptr &&
@@ -439,7 +444,8 @@
   }
 }
 
-/// Of a later version, while versions run side by side: what it says besides holds.
+/// Handles a message of a kind that only a later version knows, while versions run side by side. The other messages of
+/// its frame are still processed.
 void NodeCore::note_unknown_kind(const PeerAddress& sender, unsigned kind) {
   counters["peer_messages_unknown_total"]++;
   if (unknown_kind_said_at_ && environment.now() - *unknown_kind_said_at_ < kUnknownKindLines) {
@@ -697,7 +703,7 @@
   if (known == nullptr || known->disk_id != member.disk.str()) {
     return false;
   }
-  // Others may hold a node for dead that this one has just heard.
+  // Peers may report a node as dead from which this node has just received a message.
   const auto word = members.last_word_of(member.node);
   const bool heard_lately = word && word->first_hand && word->age < kHeardLately;
   return known->state == wire::MemberState::Alive || heard_lately;
@@ -735,7 +741,7 @@
   const DiskId disk(members.self().disk_id);
   return std::none_of(groups.begin(), groups.end(), [&](const ledger::ReplicaGroup& group) {
     return std::any_of(group.replicas.begin(), group.replicas.end(), [&](const ledger::ReplicaIdentity& member) {
-      return member.node == self && member.disk != disk;  // the place of the disk that was here before
+      return member.node == self && member.disk != disk;  // this node's former disk is still a member
     });
   });
 }
@@ -743,7 +749,7 @@
 bool NodeCore::configured() const { return catalog.routes() != nullptr && machines.table().revision() > 0; }
 
 void NodeCore::when_configured(std::function<void(bool)> done) {
-  /// Requests that wait; more would only be refused later.
+  /// Maximum number of waiting requests; more would only be refused later.
   constexpr std::size_t kMostAwaiting = 2'000;
   if (configured() || awaiting_configuration_.size() >= kMostAwaiting) {
     done(configured());
@@ -786,7 +792,7 @@
   const wire::MemberT* manager = duties.manager_of(job.str());
   std::set<PeerAddress> told;
   if (cancelled || !duties.divided()) {
-    // Items may still run where the duties were before.
+    // Items may still run on schedulers that had the duties before.
     for (const wire::MemberT* scheduler : members.available(Role::scheduler)) {
       told.insert(PeerAddress(scheduler->peer_address));
     }
@@ -838,9 +844,10 @@
       }));
 }
 
-// --- what connections to back ends need ------------------------------------------------------
+// --- back end directory for connections -------------------------------------------------------
 
-/// In a fleet without coordinators one gateway alone uses a back end that warms up: the limit is one of all together.
+/// In a fleet without coordinators, only one gateway uses a back end that warms up, because the warm-up limit applies
+/// to all gateways together.
 bool NodeCore::allows_warming(const routing::Backend& backend) {
   const auto gateways = duties.coordinators_of(backend.machine.id.str(), std::string());
   const std::optional<double> limit = registry.warm_up_limit(backend);
@@ -872,7 +879,7 @@
 std::size_t NodeCore::connection_share(const BackendId& backend) const {
   constexpr std::size_t kLeastShare = 4;
   constexpr std::size_t kUnlimited = 10'000;
-  constexpr std::size_t kReservePercent = 90;  ///< The rest is for nodes that are not known here yet.
+  constexpr std::size_t kReservePercent = 90;  ///< The rest is reserved for gateways that this node does not know yet.
   const auto entry = registry.backends().find(backend);
   if (entry == registry.backends().end() || !catalog.routes()) {
     return kUnlimited;
@@ -882,8 +889,8 @@
     if (pool != nullptr && pool->max_connections > 0) {
       const std::size_t gateways = std::max<std::size_t>(1, gateway_count());
       const std::size_t all = pool->max_connections * kReservePercent / 100;
-      // The one dispatcher of an engine may fill it; an equal share is less than its slots where there are many
-      // gateways.
+      // The engine's only dispatcher must be able to use all its slots. With many gateways, an equal share of the
+      // connections would be fewer than the slots.
       const std::size_t for_batch = std::min<std::size_t>(entry->second.machine.slots, all / 2);
       const std::size_t share = std::max(kLeastShare, (all - for_batch) / gateways);
       return dispatcher && dispatcher->owns(backend) ? share + for_batch : share;
@@ -923,7 +930,7 @@
 }
 
 void NodeCore::poll_loads() {
-  // Where coordinators know all calls, reports only show what nodes that died have left running.
+  // Coordinators know all calls, so load reports are only needed to find calls that dead nodes have left running.
   const Duration pause = coordinated() ? kPollsSavedByCoordination * load_poll_ : load_poll_;
   environment.after(pause, lifetime_.guard([this] { poll_loads(); }));
   for (const BackendId& id : polled_backends()) {
@@ -941,7 +948,7 @@
   }));
 }
 
-// --- live activity, for the schedulers that fill the same engines ---------------------------
+// --- live activity, reported to the schedulers that dispatch to the same engines ------------
 
 void NodeCore::on_online_activity(const BackendId& engine, std::uint32_t in_flight) {
   ToldActivity& entry = activity_[engine];
@@ -973,10 +980,11 @@
   send_message(environment, PeerAddress(owner->peer_address), std::move(message));
 }
 
-/// Lost messages do no harm: a request may then wait behind the prompt.
+/// Tells the other gateways that @p engine computes a prefill. Lost messages do no harm: a request may then only wait
+/// for the prefill to end.
 void NodeCore::tell_reading(const BackendId& engine, Duration expected) {
   if (coordinated()) {
-    return;  // the coordinator that named the engine knows
+    return;  // the coordinator that chose the engine knows about it
   }
   for (const wire::MemberT* gateway : members.available(Role::gateway)) {
     if (gateway->id == members.self().id) {
--- a/src/node/node_core.hpp
+++ b/src/node/node_core.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// @file All decision logic of one node, wired together. The daemon and the simulation run
-/// this very class; only Environment, Storage, BackendClient and PlatformClient differ.
+/// @file Connects all decision logic of one node. The daemon and the simulation run the same class
+/// with different implementations of Environment, Storage, BackendClient and PlatformClient.
 
 #include <memory>
 #include <optional>
@@ -42,7 +42,7 @@
 
 namespace madderdeck::node {
 
-/// Every safety rule that the simulation can leave out. The daemon uses the defaults.
+/// Safety rules that the simulation can disable one by one. The daemon uses the defaults.
 struct Guards {
   ledger::ReplicaGuards replica;
   routing::RegistryGuards registry;
@@ -55,20 +55,20 @@
   object_store::DeclarationGuards declarations;
   quarantine::quarantine_guards quarantine;
   ledger::change_guards changes;
-  bool cancel_is_durable = true;  ///< A cancel is written before it is confirmed.
+  bool cancel_is_durable = true;  ///< A cancellation is stored before it is confirmed.
   bool reject_older_config = true;
-  bool emptied_after_handover = true;    ///< A disk is called empty only once others hold what it held.
-  bool copies_arrive = true;             ///< A new disk is sent what the others hold.
-  bool copies_arrive_soon = true;        ///< ... within the time that a machine has to catch up.
-  bool groups_checked_soon = true;       ///< Maintainers look at the groups often within that time.
-  bool disks_keep_identity = true;       ///< A disk that comes back is the one that it was.
-  bool clock_counts_suspension = true;   ///< The clock goes on while the machine is suspended.
-  bool tell_activity = true;             ///< Schedulers hear of live calls on their engines.
-  bool drain_waits = true;               ///< A leaving node ends only after its live calls.
-  bool drain_waits_for_services = true;  ///< ... and after its service calls.
+  bool emptied_after_handover = true;    ///< A disk is reported as drained only once other disks hold its records.
+  bool copies_arrive = true;             ///< A new disk receives copies of the records that the other members hold.
+  bool copies_arrive_soon = true;        ///< The copies arrive within the time that a machine has to catch up.
+  bool groups_checked_soon = true;       ///< Maintainers check the groups several times within that time.
+  bool disks_keep_identity = true;       ///< A disk keeps its identity when it comes back.
+  bool clock_counts_suspension = true;   ///< The clock advances while the machine is suspended.
+  bool tell_activity = true;             ///< Gateways report live calls to the scheduler of the engine.
+  bool drain_waits = true;               ///< A draining node stops only after its live calls have ended.
+  bool drain_waits_for_services = true;  ///< A draining node stops only after its service calls have ended.
 };
 
-/// Surroundings of a node. All outlive it.
+/// External objects that a node uses. All of them have to outlive the node.
 struct NodeDependencies {
   Environment& environment;
   Counters& counters;
@@ -76,29 +76,30 @@
   routing::BackendClient& backends;
   object_store::PlatformClient& platform;
   DecisionLog& log;
-  forwarding::Upstream* upstream = nullptr;  ///< Only where requests are passed on.
+  forwarding::Upstream* upstream = nullptr;  ///< Only if requests are forwarded.
 };
 
-/// A node's own description and options.
+/// A node's description of itself and its options.
 struct NodeOptions {
   wire::MemberT self;
   std::vector<PeerAddress> seeds;
   membership::Options membership;
   ledger::ClientOptions ledger;
   object_store::ControllerOptions controller;
-  Duration load_poll = 500ms;  ///< How often back ends are asked for their load.
-  /// Back ends tell their load with their answers: only schedulers ask, for the engines they fill.
+  Duration load_poll = 500ms;  ///< Interval between requests for a back end's load.
+  /// Back ends report their load with their answers, so that only schedulers poll the engines that they own.
   bool loads_pushed = false;
-  config::FleetPolicy default_policy;  ///< Stands until operators declare one.
+  config::FleetPolicy default_policy;  ///< Applies until operators declare a policy.
   policy::policy_set policies = value_of(policy::policy_set_builder().build());
-  /// For how long after the platform's store took a back end's leaving requests may still reach it; zero: not told.
+  /// Time for which requests may still reach a back end after the platform's store recorded that it leaves; zero:
+  /// unknown.
   Duration leave_notice{};
-  Duration rate_window = 5s;     ///< Over which the rates of tenants are judged.
-  tenancy::key_trust key_trust;  ///< How long keys are trusted without word of the configuration.
+  Duration rate_window = 5s;     ///< Window for the rate limits of tenants.
+  tenancy::key_trust key_trust;  ///< How long keys are trusted without configuration updates.
   Guards guards;
 };
 
-/// Single threaded.
+/// The decision logic of one node. Single threaded.
 class NodeCore : public forwarding::BackendDirectory {
  public:
   NodeCore(NodeDependencies dependencies, NodeOptions options);
@@ -106,37 +107,39 @@
   void start();
   /// Handles one message from a peer.
   void handle(const wire::Incoming& incoming);
-  /// Starts leaving: told to all, batch work given back, no new work taken.
+  /// Starts to drain the node: announces to the members that it leaves, returns batch work and accepts no new work.
   void drain();
   bool draining() const { return draining_; }
-  /// @return whether the last accepted request has ended.
+  /// @return whether all accepted requests have ended and no record has to be handed over.
   bool drained() const;
-  /// @return whether no request is open that this node has taken.
+  /// @return whether all requests that this node accepted have ended.
   bool has_finished_calls() const;
-  /// @return whether a node that drains still holds records that others are to copy before it ends.
+  /// @return whether a draining node still holds records that other nodes have to copy before it stops.
   bool hands_over_records() const;
-  /// @return whether callers can be served: configuration is known and, where this node holds
-  ///         ledger records, they are in step.
+  /// @return whether callers can be served: the configuration is known, the node does not drain and, if it has a
+  ///         replica, holds_its_records() is true.
   bool ready() const;
-  /// @return whether this node's disk holds what the replica groups have placed on it. A disk that replaces a lost one
-  ///         does not before it has been admitted and has copied; until then no other disk may be given up.
+  /// @return whether this node's disk holds the records that the replica groups have placed on it. A disk that replaces
+  ///         a lost one holds them only once it has been admitted and has copied them; no other disk may be given up
+  ///         before that.
   bool holds_its_records() const;
-  /// The disk refuses writes, or has not been opened yet: the replica takes part in nothing until the disk is back.
+  /// Called when the disk refuses writes or is not open yet: the replica answers no requests until the disk is back.
   void on_disk_refused();
-  /// The disk, which could not be opened when this node started, is open and known to be @p disk.
+  /// Called when the disk, which could not be opened at the start of the node, is open and identified as @p disk.
   void on_disk_opened(const DiskId& disk);
-  /// The disk takes writes again; the replica goes on from what it holds.
+  /// Called when the disk accepts writes again: the replica continues with the records that it holds.
   void on_disk_regained();
-  /// Cancels a job durably, then tells every scheduler.
+  /// Stores the cancellation of a job, then notifies every scheduler.
   void cancel_job(const JobId& job, std::function<void(Result<wire::JobRecordT>)> done);
-  /// Tells the scheduler that manages @p job about it.
+  /// Notifies the schedulers that manage and dispatch @p job of its submission or cancellation.
   void announce_job(const JobId& job, bool cancelled);
   std::size_t gateway_count() const;
-  /// Runs @p done once this node knows routes and back ends, or with false when it does not within kConfigurationWait:
-  /// a node that has just started learns them within some hundred milliseconds, sooner than a caller comes back.
+  /// Calls @p done with true once this node knows routes and back ends, or with false after kConfigurationWait. A node
+  /// that has just started learns them within some hundred milliseconds, sooner than a caller would retry.
   void when_configured(std::function<void(bool)> done);
   static constexpr Duration kConfigurationWait = 1s;
-  /// @return whether a caller that shows @p credentials may use the fleet, by the configuration in force.
+  /// @return whether a caller with the credentials @p shown may use the fleet under the current configuration, and the
+  ///         caller's tenant.
   tenancy::identity authenticate(const tenancy::credentials& shown) const;
 
   std::string address_of(const BackendId& backend) const override;
@@ -145,9 +148,9 @@
   std::size_t connection_share(const BackendId& backend) const override;
   void on_load(const BackendId& backend, const routing::LoadReport& report) override;
 
-  /// Told of new routes; may be empty.
+  /// Called with new routes; may be empty.
   std::function<void(const forwarding::RouteTable&)> on_routes_change;
-  /// Told of members that appear, leave, die or come back; may be empty.
+  /// Called with members that join, leave, die or return; may be empty.
   std::function<void(const wire::MemberT&)> on_member_change;
 
   Environment& environment;
@@ -155,9 +158,9 @@
   DecisionLog& log;
 
  private:
-  /// @return whether this node knows the node of @p member to live, with that disk.
+  /// @return whether the node of @p member is reachable and has the disk of @p member, as far as this node knows.
   bool is_there(const ledger::ReplicaIdentity& member) const;
-  /// @return whether this node holds most of those for dead that it has known to live a short time ago.
+  /// @return whether most of the members that were alive a short time ago are dead, as far as this node knows.
   bool misses_most_of_fleet() const;
 
   Guards guards_;
@@ -167,23 +170,24 @@
   const Duration load_poll_;
   const bool loads_pushed_;
   const tenancy::key_trust key_trust_;
-  const std::size_t handover_copies_;  ///< Disks that have to hold a record before this node's disk may go.
+  const std::size_t
+      handover_copies_;  ///< Number of disks that have to hold a record before this node's disk may be removed.
   bool draining_ = false;
 
  public:
   config::Catalog catalog;
   config::TableReplicator objects;
   config::TableReplicator machines;
-  config::TableReplicator groups;       ///< Used where the platform keeps them apart from the objects.
-  config::TableReplicator evacuations;  ///< Zones whose back ends are to get no requests.
+  config::TableReplicator groups;       ///< Used if the platform stores the groups separately from the objects.
+  config::TableReplicator evacuations;  ///< Zones whose back ends must get no requests.
   membership::Membership members;
-  peer_memory remembered_peers;  ///< Used on ledger nodes alone.
+  peer_memory remembered_peers;  ///< Only used on ledger nodes.
   placement::duties duties;
   ledger::Client ledger;
   batch::ResultReader results;
   batch::submission_window submissions;
   std::unique_ptr<ledger::Replica> replica;                  ///< Only on ledger nodes.
-  std::unique_ptr<ledger::replica_journal> replica_journal;  ///< As the replica.
+  std::unique_ptr<ledger::replica_journal> replica_journal;  ///< Only on ledger nodes.
   std::unique_ptr<ledger::group_health> group_health;
   routing::Registry registry;
   routing::ClaimBook claims;
@@ -193,19 +197,19 @@
   quarantine::request_quarantine quarantine;
   std::unique_ptr<forwarding::Forwarder> forwarder;  ///< Only with an upstream.
   tenancy::rate_limiter limiter;
-  routing::shared_calls shared_calls;                   ///< Of the other nodes.
-  std::unique_ptr<routing::call_announcer> announcer;   ///< Only where calls are shared.
-  std::unique_ptr<placement::coordinator> coordinator;  ///< Only where large fleets are coordinated,
-  std::unique_ptr<placement::place_client> places;      ///< as are these.
+  routing::shared_calls shared_calls;                   ///< Calls of the other nodes.
+  std::unique_ptr<routing::call_announcer> announcer;   ///< Only if nodes share their calls.
+  std::unique_ptr<placement::coordinator> coordinator;  ///< Only if large fleets are coordinated.
+  std::unique_ptr<placement::place_client> places;      ///< Only if large fleets are coordinated.
   std::unique_ptr<placement::call_reporter> call_reporter;
-  policy::work_estimate estimate;                 ///< Of batch items.
+  policy::work_estimate estimate;                 ///< Estimates for batch items.
   std::unique_ptr<batch::JobManager> jobs;        ///< Only on schedulers.
   std::unique_ptr<batch::queue_limiter> queues;   ///< Only on schedulers.
   std::unique_ptr<batch::Dispatcher> dispatcher;  ///< Only on schedulers.
   object_store::Declarations declarations;
   std::unique_ptr<object_store::Retirement> retirement;  ///< Only on ledger nodes.
   std::unique_ptr<object_store::Controller> controller;  ///< Only on controllers.
-  /// Only on ledger nodes that are controllers, once they drain.
+  /// Only on draining ledger nodes that are controllers.
   std::unique_ptr<object_store::stopping_handover> handover;
 
  private:
@@ -222,10 +226,10 @@
   void tell_not_found(const membership::fleet_search& search);
   void on_objects_changed(const std::vector<config::EntryKey>& keys);
   void on_machines_changed(const std::vector<config::EntryKey>& keys);
-  /// Tells the replica and the client of this node what either knows of the groups.
+  /// Exchanges the known group epochs between the replica and the ledger client of this node.
   void match_replica_and_client();
   void on_evacuations_changed();
-  /// @return whether this node may send a request to @p backend, which warms up; counts it then.
+  /// @return whether this node may send a request to @p backend, which is warming up. If so, counts the request.
   bool allows_warming(const routing::Backend& backend);
   void on_calls_changed(const BackendId& engine);
   void on_online_activity(const BackendId& engine, std::uint32_t in_flight);
@@ -234,20 +238,20 @@
   void refresh_activity();
   void report_queues();
   std::vector<PeerAddress> other_gateways() const;
-  /// @return where the other nodes hear their peers that send requests to back ends or remember what others have told.
+  /// @return peer addresses of the other nodes that send requests to back ends or store suspicions.
   std::vector<PeerAddress> suspicion_peers() const;
   bool is_leaving(const BackendId& backend);
   Duration observed_time_to_yield() const;
   void start_watching_groups();
   void start_sharing_calls();
   void start_coordination();
-  /// @return whether the coordinators of a large fleet choose the engines.
+  /// @return whether coordinators choose the engines, as they do in large fleets.
   bool coordinated() const { return places && places->active(); }
   void poll_loads();
   void fetch_load(const BackendId& id);
   void tell_unexplained(const BackendId& id);
   void note_unknown_kind(const PeerAddress& sender, unsigned kind);
-  /// @return those whose load this node asks for.
+  /// @return the back ends whose load this node polls in this round.
   std::set<BackendId> polled_backends();
 
   bool configured() const;
@@ -258,7 +262,7 @@
   Timestamp started_at_{};
   routing::warm_up_pace warm_up_pace_;
   std::uint64_t poll_round_ = 0;
-  Timestamp ask_all_until_{};  ///< Until then every back end that this node looks after is asked for its load.
+  Timestamp ask_all_until_{};  ///< Until then all back ends that this node owns are polled for their load.
   word_numbers word_numbers_{environment};
   std::optional<Timestamp> unknown_kind_said_at_;
   Lifetime lifetime_;
--- a/src/node/peer_memory.cpp
+++ b/src/node/peer_memory.cpp
@@ -59,7 +59,7 @@
   }
   const auto list = wire::decode_record<wire::MemberSyncT>(*bytes);
   if (!list) {
-    note_unread(Error{ErrorKind::corrupted, "no list of members"});
+    note_unread(Error{ErrorKind::corrupted, "the record is not a list of members"});
     return;
   }
   members_.recall(decode(*list));
--- a/src/node/peer_memory.hpp
+++ b/src/node/peer_memory.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Keeps the peers that a node with a disk knows on that disk.
+/// @file Stores the peers that a node knows on its disk, if it has one.
 
 #include "common/counters.hpp"
 #include "common/decision_log.hpp"
@@ -9,18 +9,18 @@
 
 namespace madderdeck::node {
 
-/// Reads the list at a start, writes it when it has changed, at most once in kLeastPause. Nothing waits for it, and a
-/// disk that refuses writes only leaves the list as old as it is. Single threaded.
+/// Reads the list of peers at the start and writes it when it has changed, at most once per kLeastPause. No other work
+/// waits for a write; if the disk refuses writes, the stored list only stays outdated. Single threaded.
 class peer_memory {
  public:
-  /// @param members outlives this, as all others do.
+  /// All arguments have to outlive this object.
   peer_memory(Environment& environment, Counters& counters, DecisionLog& log, membership::Membership& members);
 
-  /// Reads the list, unless that was done before, and keeps it in @p storage from then on. A list that cannot be read
-  /// now stays as it is; one that is damaged counts as none.
+  /// Reads the list from @p storage unless it was read before, and stores changes there from then on. A list that
+  /// cannot be read now is not overwritten; a corrupted list counts as empty.
   void keep_in(ledger::Storage& storage);
 
-  static constexpr char kKey[] = "m/peers";  ///< Of the record, a MemberSync.
+  static constexpr char kKey[] = "m/peers";  ///< Key of the record, a MemberSync.
   static constexpr Duration kLook = 1s;
   static constexpr Duration kLeastPause = 10s;
 
@@ -36,8 +36,8 @@
   membership::Membership& members_;
   ledger::Storage* storage_ = nullptr;
   bool read_ = false;
-  bool stored_ = true;     ///< The last write was taken, as far as is known.
-  bool was_told_ = false;  ///< That the disk refuses it.
+  bool stored_ = true;     ///< Whether the last write is known to have succeeded; true before the first write.
+  bool was_told_ = false;  ///< Whether the current failure to write has been logged.
   std::uint64_t seen_version_ = 0;
   std::optional<Timestamp> written_at_;
   Lifetime lifetime_;
--- a/src/node/peer_outbox.cpp
+++ b/src/node/peer_outbox.cpp
@@ -29,7 +29,8 @@
       drop_oldest(source);
       continue;
     }
-    // A frame is lost whole, and all of it before its peer can use any of it.
+    // Frames are bounded because a lost frame loses all its messages, and the peer can use none of them before the
+    // entire frame has arrived.
     if (!frame.empty() && bytes + oldest.bytes > limits_.frame_bytes) {
       break;
     }
--- a/src/node/peer_outbox.hpp
+++ b/src/node/peer_outbox.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Messages that wait to be sent to one peer. No I/O.
+/// @file Queue of messages to one peer. Does no I/O.
 
 #include <array>
 #include <cstddef>
@@ -11,34 +11,34 @@
 
 namespace madderdeck::node {
 
-/// Messages of a lane are sent in frames, one frame at a time; the lanes do not wait for each other.
+/// Each lane sends its messages in frames, one frame at a time, independently of the other lane.
 enum class peer_lane : std::size_t {
-  prompt,  ///< Short messages: most questions, votes and notices.
+  prompt,  ///< Short messages: most requests, votes and notices.
   bulk,    ///< Messages with long values.
 };
 inline constexpr std::size_t kPeerLanes = 2;
 
-/// Bounds on what waits.
+/// Limits of a peer's queue.
 struct outbox_limits {
-  std::size_t bulk_from_bytes = 16 << 10;  ///< Payload from which a message takes the bulk lane.
-  std::size_t frame_messages = 256;        ///< Messages of one frame.
-  std::size_t frame_bytes = 256 << 10;     ///< Payload of one frame that holds more than one message.
-  std::size_t waiting_messages = 20'000;   ///< Of one lane; the oldest go first.
-  std::size_t waiting_bytes = 48 << 20;    ///< Payload of one lane; the oldest go first.
-  Duration useful_for = 5s;  ///< A message that waited longer is dropped: its sender has asked again or given up.
+  std::size_t bulk_from_bytes = 16 << 10;  ///< Payload from which a message uses the bulk lane.
+  std::size_t frame_messages = 256;        ///< Messages in one frame.
+  std::size_t frame_bytes = 256 << 10;     ///< Payload of a frame with more than one message.
+  std::size_t waiting_messages = 20'000;   ///< Messages per lane; the oldest are dropped first.
+  std::size_t waiting_bytes = 48 << 20;    ///< Payload per lane; the oldest messages are dropped first.
+  Duration useful_for = 5s;  ///< A message that waited longer is dropped: its sender has retried or given up.
 };
 
-/// What one peer has not been sent yet. Single threaded.
+/// Messages that have not been sent to one peer yet. Single threaded.
 class peer_outbox {
  public:
   explicit peer_outbox(outbox_limits limits = {}) : limits_(limits) {}
 
-  /// @param useful_until after which @p message is not worth sending.
-  /// @return the lane that it waits in.
+  /// @param useful_until time after which @p message is dropped unsent.
+  /// @return the lane to which @p message was added.
   peer_lane add(wire::MessageUnion message, Timestamp now, Timestamp useful_until);
-  /// @return the oldest messages of @p lane that fit one frame, at least one where any is still useful.
+  /// @return the oldest messages of @p lane that fit into one frame; at least one if any message is still useful.
   std::vector<wire::MessageUnion> next_frame(peer_lane lane, Timestamp now);
-  /// @return messages that were dropped since the last call: they were too many, or had waited for too long.
+  /// @return the number of messages dropped since the last call because of the limits or because they waited too long.
   std::size_t take_dropped();
 
  private:
--- a/src/node/program.cpp
+++ b/src/node/program.cpp
@@ -6,13 +6,13 @@
 #include "node/daemon.hpp"
 
 DEFINE_string(settings, "", "Settings file (TOML).");
-DEFINE_bool(check_settings, false, "Check the settings, print the outcome and end.");
+DEFINE_bool(check_settings, false, "Check the settings, print the result and exit.");
 DEFINE_string(node_id, "", "Overrides node.id.");
 DEFINE_string(zone, "", "Overrides node.zone.");
 DEFINE_string(peer_address, "", "Overrides node.peer_address.");
 DEFINE_string(api_address, "", "Overrides node.api_address.");
-DEFINE_string(seeds, "", "Overrides node.seeds; addresses with commas between.");
-DEFINE_string(roles, "", "Overrides node.roles; names with commas between.");
+DEFINE_string(seeds, "", "Overrides node.seeds; comma-separated addresses.");
+DEFINE_string(roles, "", "Overrides node.roles; comma-separated names.");
 DEFINE_string(data_folder, "", "Overrides node.data_folder.");
 DEFINE_string(platform_endpoint, "", "Overrides platform.endpoint.");
 DEFINE_string(log_level, "", "Overrides log.level.");
@@ -57,7 +57,7 @@
     return fail(madderdeck::error_of(settings));
   }
   if (FLAGS_check_settings) {
-    std::cout << "settings are in order" << std::endl;
+    std::cout << "settings are valid" << std::endl;
     return 0;
   }
   const auto& checked = madderdeck::value_of(settings);
