--- a/tests/node/asio_environment_test.cpp
+++ b/tests/node/asio_environment_test.cpp
@@ -12,11 +12,10 @@
 using namespace madderdeck;
 using namespace madderdeck::node;
 
-// Symptom and cause: on a machine that was suspended for seconds, leases, reports and keys seemed as fresh as before,
-// since the steady clock does not count that time; others had measured it. Here no machine can be suspended: that the
-// clock is the right one is shown by its name and its readings, what happens otherwise by the simulation
-// (clock_stands_still).
-TEST_CASE("a node's clock goes on while the machine is suspended") {
+// Guards against a clock that stops during suspension: on a machine that was suspended for seconds, leases, reports and
+// keys seemed as fresh as before, while other nodes had measured that time. A test cannot suspend the machine, so this
+// one checks the type and the readings of the clock; the simulation covers the effects (clock_stands_still).
+TEST_CASE("a node's clock advances while the machine is suspended") {
   static_assert(std::is_same_v<AsioEnvironment::clock, net::boot_clock>);
   const auto read = [](clockid_t clock) {
     timespec time{};
@@ -34,7 +33,7 @@
   CHECK(now <= read(CLOCK_BOOTTIME));
 }
 
-TEST_CASE("timers run by the node's clock") {
+TEST_CASE("timers use the node's clock") {
   boost::asio::io_context context;
   Counters counters;
   net::HttpClient client(context, "");
@@ -48,7 +47,7 @@
 
 namespace {
 
-constexpr std::size_t kBulkBytes = 2'000'000;  ///< The items of a batch job, as one record.
+constexpr std::size_t kBulkBytes = 2'000'000;  ///< Size of a record with the items of a batch job.
 constexpr char kSender[] = "127.91.0.3:9402";
 constexpr char kReceiver[] = "127.91.0.3:9403";
 
@@ -60,7 +59,7 @@
   return accept;
 }
 
-/// A node that sends, on a loop of its own.
+/// A sending node with a separate event loop.
 struct sending_node {
   sending_node() : client(context, ""), environment(context, counters, client, PeerAddress(kSender)) {}
   void send(wire::AcceptT message) { send_message(environment, PeerAddress(kReceiver), std::move(message)); }
@@ -73,13 +72,12 @@
 
 }  // namespace
 
-// After a run in which many jobs had been submitted no job's record could be read any more, at any node, though all
-// nodes lived and nothing but readings was asked of them: "no majority of replicas answered the scan ... replies 0 of
-// 3". Messages to one peer shared a frame, up to 256 of them whatever their size, and one frame was under way at a
-// time. Of jobs of 2 MB seventeen made a frame that its receiver refuses as too large, and smaller ones still took a
-// busy receiver longer than the 5 s after which its sender gives the frame up. All messages of such a frame were lost,
-// the small questions of readers among them, and nobody was told. 34 MB stood in the sockets of each node with a disk,
-// which spent its time on receiving what its senders had given up.
+// Guards against lost frames of many large messages. After many jobs had been submitted, reads of job records failed at
+// every node ("no majority of replicas answered the scan ... replies 0 of 3"), although all nodes were alive. Up to 256
+// messages of any size shared a frame, and one frame per peer was sent at a time. Seventeen jobs of 2 MB made a frame
+// that the receiver rejects as too large, and a busy receiver needed more than the sender's timeout of 5 s for smaller
+// frames. All messages of these frames were lost without a report, small read requests among them. 34 MB waited in the
+// sockets of each node with a disk, which spent its time on receiving frames that had already timed out.
 TEST_CASE("messages of any size that wait for one peer all arrive") {
   constexpr std::uint64_t kMessages = 20;
   sending_node sender;
@@ -103,7 +101,7 @@
 
 namespace {
 
-/// Takes what a node sends, at a bounded rate, and answers each frame: a node on a busy machine.
+/// Simulates a node on a busy machine: receives frames at a limited rate and responds to each.
 class slow_receiver {
  public:
   slow_receiver(boost::asio::io_context& context, std::size_t bytes_per_s)
@@ -117,7 +115,8 @@
     accept();
   }
 
-  std::map<std::uint64_t, Timestamp> arrived;  ///< Messages of whole frames, by number, since the start.
+  std::map<std::uint64_t, Timestamp>
+      arrived;  ///< Arrival times since the start of the messages in complete frames, by number.
 
  private:
   static constexpr int kTurnsPerS = 100;
@@ -138,7 +137,7 @@
     });
   }
 
-  /// All connections share the rate: each waits for its turn.
+  /// All connections share the rate, so each waits for its turn to read.
   void read(const std::shared_ptr<connection>& from) {
     next_turn_ = std::max(next_turn_, std::chrono::steady_clock::now()) + std::chrono::milliseconds(1000 / kTurnsPerS);
     from->timer.expires_at(next_turn_);
@@ -189,10 +188,10 @@
 
 }  // namespace
 
-// The same, at a receiver that takes 4 MB a second: the records of ten jobs are more than it takes in the 5 s that a
-// frame may last, so a frame of all of them never arrives, and what it took of it is lost work. A question of a reader
-// has 1.1 s; it must not wait behind what is bulky.
-TEST_CASE("a small message does not wait behind large ones, and a slow peer gets the large ones one by one") {
+// Guards against the same fault at a receiver that reads 4 MB per second: it cannot read the records of ten jobs within
+// the frame timeout of 5 s, so a frame with all of them never arrives and the part that was received is wasted. A read
+// request has 1.1 s and must not wait behind bulk messages.
+TEST_CASE("a small message does not wait behind large ones, and a slow peer receives the large ones one by one") {
   constexpr std::size_t kBytesPerS = 4'000'000;
   constexpr std::uint64_t kMessages = 14;
   constexpr Duration kReadersTime = 1100ms;
@@ -208,9 +207,9 @@
   CHECK(receiver.arrived.size() >= 3);
 }
 
-// At a gateway with less than one call a second each word about a call took a connection of its own and an answer: six
-// exchanges for a call, most of what a small node did.
-TEST_CASE("short words about calls go as datagrams, long ones by connections, and both arrive") {
+// Guards against a connection and a response for each message about a call: at a gateway with less than one call a
+// second, these were six exchanges per call and most of a small node's work.
+TEST_CASE("short messages about calls are sent as datagrams, long ones over connections, and both arrive") {
   constexpr std::size_t kManyEngines = 200;
   sending_node sender;
   net::HttpClient client(sender.context, "");
--- a/tests/node/connection_share_test.cpp
+++ b/tests/node/connection_share_test.cpp
@@ -12,11 +12,11 @@
 constexpr unsigned kGateways = 70;
 constexpr unsigned kEngines = 90;
 constexpr std::uint32_t kSlots = 8;
-constexpr std::uint32_t kMostConnections = 530;  ///< To one engine, of all gateways.
+constexpr std::uint32_t kMostConnections = 530;  ///< Limit of an engine for the connections of all gateways.
 
-constexpr Duration kUntilOwned = 300ms;  ///< Engines are shared out anew at most so often.
+constexpr Duration kUntilOwned = 300ms;  ///< Minimum interval between assignments of the engines.
 
-/// A store that says nothing.
+/// A platform store that never responds.
 class silent_store : public object_store::PlatformClient {
  public:
   void watch_objects(std::uint64_t, Duration, object_store::ChangesDone) override {}
@@ -64,7 +64,7 @@
   static node::NodeOptions options(unsigned self) {
     node::NodeOptions options;
     options.self = member(self);
-    options.membership.period = 1h;  // nobody answers probes here
+    options.membership.period = 1h;  // the peers do not exist, so probes would fail
     return options;
   }
 
@@ -80,7 +80,7 @@
 
 // See "a call beyond this node's share of connections is none that the engine failed".
 TEST_CASE(
-    "the node that fills an engine with batch work has connections for all its slots, and all together keep to the "
+    "an engine's dispatcher gets connections for all slots of the engine, and all nodes together stay within the "
     "engine's limit") {
   std::map<BackendId, std::size_t> connections;
   std::map<BackendId, unsigned> owners;
--- a/tests/node/disk_watch_test.cpp
+++ b/tests/node/disk_watch_test.cpp
@@ -23,7 +23,7 @@
 
 constexpr auto kStuck = 30s;
 
-/// Keeps what a watch tells.
+/// Collects the reports of a disk watch.
 class told_lines {
  public:
   disk_watch::Tell tell() {
@@ -33,7 +33,7 @@
       changed_.notify_all();
     };
   }
-  /// Waits for the line that @p wanted holds for.
+  /// Waits for a report for which @p wanted returns true.
   slow_disk_operation await(const std::function<bool(const slow_disk_operation&)>& wanted) {
     std::unique_lock lock(mutex_);
     const auto find = [&] { return std::find_if(lines_.begin(), lines_.end(), wanted); };
@@ -51,7 +51,7 @@
   std::vector<slow_disk_operation> lines_;
 };
 
-/// A database whose files can be held; each operation runs on a thread of its own.
+/// A database whose file operations can be blocked; each operation runs on a separate thread.
 class held_database {
  public:
   held_database() {
@@ -61,7 +61,8 @@
     REQUIRE(succeeded(opened));
     storage_ = std::move(value_of(opened));
   }
-  /// Runs @p task while @p call is held, until the watch has told of it, and after that until it has ended.
+  /// Runs @p task while @p call is blocked until the watch has reported the slow operation, then unblocks @p call and
+  /// waits until the watch has reported the end.
   slow_disk_operation hang(held_call call, disk_operation operation, const std::function<void()>& task) {
     files_.calls().hold(call);
     std::thread thread(task);
@@ -87,7 +88,7 @@
 
 }  // namespace
 
-TEST_CASE("a write and a sync that hang are told of while they hang and when they have ended") {
+TEST_CASE("a write and a sync that hang are reported while they hang and when they have ended") {
   held_database database;
   const slow_disk_operation write =
       database.hang(held_call::write, disk_operation::write, [&] { database.storage().put("a", {1}); });
@@ -98,7 +99,7 @@
   CHECK(sync.callers_waiting == 1);
 }
 
-TEST_CASE("operations of the disk that end soon are not told of") {
+TEST_CASE("fast disk operations are not reported") {
   held_database database;
   for (std::uint8_t number = 0; number < 100; ++number) {
     database.storage().put("a", {number});
--- a/tests/node/full_disk_start_test.cpp
+++ b/tests/node/full_disk_start_test.cpp
@@ -1,5 +1,6 @@
-/// Nodes that ended again and again while their disk was full: each start failed with "storage_unwritable". The node
-/// stays up instead, takes part in nothing that needs its disk, and goes on once the disk takes writes.
+/// Guards against nodes that terminate repeatedly while their disk is full, as each start failed with
+/// "storage_unwritable". The node has to keep running without the work that needs its disk, and to use the disk once it
+/// accepts writes.
 #include <catch2/catch.hpp>
 
 #include <fcntl.h>
@@ -23,7 +24,7 @@
 
 std::string binaries() { return std::filesystem::read_symlink("/proc/self/exe").parent_path().string(); }
 
-/// A node with a disk that may refuse writes.
+/// A node process whose disk can be made to refuse writes.
 class node_beside_disk {
  public:
   explicit node_beside_disk(std::string address) : address_(std::move(address)) {
@@ -31,24 +32,24 @@
                                          << "peer_address = \"" << address_ << ":7000\"\napi_address = \"" << address_
                                          << ":8000\"\ndata_folder = \"" << path("data") << "\"\n\n[platform]\n"
                                          << "endpoint = \"" << address_ << ":9000\"\n";
-    // The limit is not for pipes.
+    // A pipe, since the limit that refuses writes does not apply to pipes.
     REQUIRE(::mkfifo(path("log").c_str(), 0600) == 0);
     log_pipe_ = ::open(path("log").c_str(), O_RDWR | O_NONBLOCK | O_CLOEXEC);
     REQUIRE(log_pipe_ >= 0);
   }
   ~node_beside_disk() { ::close(log_pipe_); }
   void refuse(bool refused) const { REQUIRE(succeeded(bench::refuse_writes(process_.id(), refused))); }
-  /// @param refused whether the disk refuses writes from the start on.
+  /// @param refused whether the disk refuses writes from the start of the process.
   void start(bool refused) {
     log_.clear();
-    REQUIRE(succeeded(bench::refuse_writes(0, refused)));  // the new process begins with it
+    REQUIRE(succeeded(bench::refuse_writes(0, refused)));  // inherited by the new process
     const Status started =
         process_.start(binaries() + "/madderdeckd", {"--settings=" + path("settings.toml")}, path("log"));
     REQUIRE(succeeded(bench::refuse_writes(0, false)));
     REQUIRE(succeeded(started));
   }
   void stop() { process_.kill(); }
-  /// @return whether the node wrote @p event before it ended.
+  /// @return whether the node logs @p event within kStuck and before it terminates.
   bool tells(const std::string& event) {
     const auto began = std::chrono::steady_clock::now();
     while (std::chrono::steady_clock::now() - began < kStuck) {
@@ -65,7 +66,7 @@
   }
   /// Damages the database so that it cannot be opened.
   void damage_disk() const { std::ofstream(path("data/records/CURRENT"), std::ios::trunc) << "\n"; }
-  /// Lets the disk's identity be read only once somebody answers: the disk hangs.
+  /// Simulates a disk that hangs: a read of its identity blocks until answer_disk() is called.
   void hang_disk() const {
     std::filesystem::remove(path("data/disk_id"));
     REQUIRE(::mkfifo(path("data/disk_id").c_str(), 0600) == 0);
@@ -92,7 +93,7 @@
 
   const tests::TemporaryDisk place_;
   const std::string address_;
-  std::string log_;  ///< What has been read of it.
+  std::string log_;  ///< The part of the log that was read so far.
   int log_pipe_ = -1;
   bench::Process process_;
 };
@@ -122,7 +123,7 @@
   CHECK((identity.empty() || identity == node.identity()));
 }
 
-TEST_CASE("a node tells how its start opened the disk, and last why a damaged one ends it") {
+TEST_CASE("a node logs how it opened its disk, and why it terminates if the disk is damaged") {
   node_beside_disk node("127.98.6.2");
   node.start(false);
   REQUIRE(node.tells("node_started"));
@@ -137,7 +138,7 @@
   CHECK(node.log().find("\"kind\":\"corrupted\"") != std::string::npos);
 }
 
-// A node whose disk did not answer when it started was absent for as long: it neither listened nor joined.
+// Guards against a node that neither listens nor joins as long as its disk hangs at the start.
 TEST_CASE("a node that starts while its disk hangs joins and uses the disk later") {
   node_beside_disk node("127.98.6.3");
   node.start(false);
--- a/tests/node/leaving_back_ends_test.cpp
+++ b/tests/node/leaving_back_ends_test.cpp
@@ -1,10 +1,9 @@
-/// Requests reached an engine up to seconds after the time for which a leaving engine goes on serving. The record of
-/// the users' run has no cause, but two ways to it were found in the code. An entry that went without a word with most
-/// of its pool was used for 1.8 s more, or 4 s where the whole pool went, from the moment the node heard of it,
-/// whatever the engine's notice (2 to 4 s). And a peer's word on how fresh its list is was reckoned from the moment it
-/// was read: word that had waited in a buffer kept a node from looking into the store for as long as such word came.
-/// With the code before, 3 of 3 engines were in use 3.3 s after the store had dropped them, and 4 of 4 after 3 s of
-/// word from before one of them went.
+/// Guards against requests that reach an engine up to seconds after the notice period, for which a leaving engine keeps
+/// serving. There were two causes. An engine whose entry disappeared without notice, together with most of its pool,
+/// was used for 1.8 s more (4 s if the whole pool disappeared) after the node learned of it, whatever the engine's
+/// notice period (2 to 4 s). And the age of a peer's list was counted from the time at which its message was read, so
+/// that messages that had waited in a buffer kept a node from reading the store. Before the fix, 3 of 3 engines were in
+/// use 3.3 s after the store had dropped them, and 4 of 4 after 3 s of messages sent before one of them disappeared.
 #include <catch2/catch.hpp>
 
 #include "node/node_core.hpp"
@@ -19,11 +18,12 @@
 constexpr Duration kNotice = 3s;
 constexpr std::uint64_t kListed = 10;  ///< Revision at which all engines are listed.
 constexpr char kPool[] = "m";
-constexpr unsigned kFedFleet = 40;  ///< Peers with which the node is not among those that read the store.
+constexpr unsigned kFedFleet = 40;  ///< Number of peers with which the node is not one of the store's readers.
 
 config::EntryKey engine_key(unsigned number) { return {config::kMachineKind, "engine-" + std::to_string(number)}; }
 
-/// A store that lists engines until they go, and answers watches at once or at the end of their wait.
+/// A platform store that lists engines until they are dropped. A watch is answered immediately if there is a change,
+/// otherwise at the end of its wait.
 class engine_list_store : public object_store::PlatformClient {
  public:
   explicit engine_list_store(TestEnvironment& environment) : environment_(environment) {}
@@ -50,7 +50,7 @@
     done(Error{ErrorKind::unavailable, "read only"});
   }
 
-  /// What is in `gone` goes now; a watch that waits is answered.
+  /// Drops the entries in `gone` now and answers a waiting watch.
   void drop() {
     revision = kListed + 1;
     if (waiting) {
@@ -59,8 +59,8 @@
   }
 
   std::uint64_t revision = kListed;
-  std::vector<config::Entry> gone;    ///< Entries that went after kListed.
-  object_store::ChangesDone waiting;  ///< Of the latest watch of engines, until its wait is over.
+  std::vector<config::Entry> gone;    ///< Entries that are dropped after kListed.
+  object_store::ChangesDone waiting;  ///< Callback of the latest watch of engines while it waits.
 
  private:
   void answer_after(Duration wait, std::uint64_t since, std::uint64_t up_to, std::vector<config::Entry> entries,
@@ -86,7 +86,7 @@
   return member;
 }
 
-/// One node of a large fleet that relies on its peers' word, or one alone, and some engines.
+/// Some engines and one node, which is either alone or in a large fleet and relies on its peers' messages.
 struct fixture {
   explicit fixture(unsigned engines, unsigned peers = kFedFleet)
       : core({environment, counters, nullptr, backends, store, log}, options()) {
@@ -117,7 +117,7 @@
     return options;
   }
 
-  /// A peer passes on that the first @p count engines went without a word.
+  /// Handles a peer's delta in which the first @p count engines disappeared without notice.
   void hear_gone(unsigned count, std::uint64_t revision) {
     wire::TableDeltaT delta;
     delta.table = wire::TableId::Machines;
@@ -134,7 +134,7 @@
     core.machines.handle(PeerAddress("peer-0:1"), delta);
   }
 
-  /// A notice of a peer is read that says: nothing later than @p revision, as of now.
+  /// Handles a peer's notice that the source has nothing later than @p revision, with an age of zero.
   void hear_notice(std::uint64_t revision) {
     wire::RevisionNoticeT notice;
     notice.table = wire::TableId::Machines;
@@ -158,15 +158,17 @@
 
 }  // namespace
 
-TEST_CASE("a back end that has gone without a word is used no longer than its notice after the store dropped it") {
-  SECTION("the whole pool goes") {
+TEST_CASE(
+    "a back end that disappears without notice is used no longer than its notice period after the store dropped "
+    "it") {
+  SECTION("the whole pool disappears") {
     fixture fleet(3);
     fleet.run_for(300ms);
     fleet.hear_gone(3, kListed + 1);  // the store dropped them up to 300 ms ago
     fleet.run_for(kNotice);
     CHECK(fleet.usable() == 0);
   }
-  SECTION("one deletion is told by two sources that date it differently") {
+  SECTION("two sources report one deletion with different times") {
     fixture fleet(4);
     fleet.run_for(300ms);
     fleet.hear_gone(3, kListed + 1);
@@ -175,7 +177,7 @@
     fleet.run_for(kNotice - 1500ms);
     CHECK(fleet.usable() == 1);
   }
-  SECTION("word that waited for seconds before it was read does not make a list young") {
+  SECTION("notices that were read seconds after their arrival do not make a list fresh") {
     fixture fleet(4);
     fleet.store.gone = {{engine_key(1), "", kListed + 1, true}};
     fleet.store.revision = kListed + 1;
@@ -187,10 +189,11 @@
   }
 }
 
-// A soak of real processes on a machine at a load of 34, seed 105: the store dropped eight of twelve engines, the
-// answer of the watch was read 0.9 and 1.1 s later by two gateways whose processes had not run meanwhile, and the list
-// was dated by the reading ("listed_ms_ago":5). Five requests arrived 0.1 to 0.5 s after the engines' notice of 2 s.
-TEST_CASE("an answer of the store that is read late does not date a change by its reading") {
+// Guards against dating a change by the time at which the store's answer is read. In a soak test of real processes
+// (seed 105, machine at a load of 34) the store dropped eight of twelve engines. Two gateways, whose processes had not
+// run in between, read the watch's answer 0.9 and 1.1 s later and took the list for fresh ("listed_ms_ago":5). Five
+// requests arrived 0.1 to 0.5 s after the engines' notice period of 2 s.
+TEST_CASE("a store's answer that is read late does not date a change by the time of the read") {
   constexpr Duration kStandstill = 1s;
   fixture fleet(3, 0);
   REQUIRE(fleet.core.controller->is_reader());
@@ -208,7 +211,7 @@
   CHECK(fleet.usable() == 0);
 }
 
-TEST_CASE("a change that a peer tells first is dated by the watch that had not brought it") {
+TEST_CASE("a change that a peer reports first is dated by the watch that had not delivered it") {
   fixture fleet(3, 0);
   fleet.run_for(8s);  // the watch waits for 10 s, so the list was last confirmed long ago
   fleet.hear_gone(3, kListed + 1);
@@ -218,11 +221,11 @@
   CHECK(fleet.usable() == 0);
 }
 
-// A soak of real processes, seed 139: the store dropped one engine's entry, and 8 ms later took a heartbeat that the
-// engine had sent before it left. The entry said "live" for 3.7 s more, until three heartbeats were missed; eight
-// gateways sent 25 requests there up to 1.5 s after its notice. ("state":"gone" at revision 27, "live" at 28, "gone"
-// at 44.)
-TEST_CASE("a heartbeat that the store takes late does not undo an engine's leaving") {
+// Guards against a late heartbeat that makes a leaving engine live again. In a soak test of real processes (seed 139)
+// the store dropped an engine's entry and 8 ms later processed a heartbeat that the engine had sent before it left. The
+// entry was "live" for 3.7 s more, until three heartbeats were missed, and eight gateways sent 25 requests to the
+// engine up to 1.5 s after its notice period ("state":"gone" at revision 27, "live" at 28, "gone" at 44).
+TEST_CASE("a heartbeat that the store processes late does not undo an engine's leaving") {
   fixture fleet(4);
   const auto list = [&fleet](const std::string& state, std::uint64_t started) {
     const std::uint64_t revision = fleet.core.machines.table().revision() + 1;
@@ -233,19 +236,19 @@
   };
   list("live", 5'000);
   REQUIRE(fleet.usable() == 4);
-  SECTION("its entry had gone") { list("gone", 0); }
-  SECTION("its entry had said that it leaves") { list("leaving", 5'000); }
+  SECTION("its entry had disappeared") { list("gone", 0); }
+  SECTION("its entry had the state leaving") { list("leaving", 5'000); }
   CHECK(fleet.usable() == 3);
   fleet.run_for(8ms);
   list("live", 5'000);
   CHECK(fleet.usable() == 3);
   fleet.run_for(kNotice);
   CHECK(fleet.usable() == 3);
-  list("live", 9'000);  // started anew under its id
+  list("live", 9'000);  // restarted under the same id
   CHECK(fleet.usable() == 4);
 }
 
-TEST_CASE("an engine whose entry only lapsed is used again once it stays listed") {
+TEST_CASE("an engine whose entry disappeared only for a time is used again once it stays listed") {
   fixture fleet(4);
   fleet.hear_gone(1, kListed + 1);
   CHECK(fleet.usable() == 3);
--- a/tests/node/peer_memory_test.cpp
+++ b/tests/node/peer_memory_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A disk in memory that may refuse to be read or written, as one that is full does.
+/// An in-memory disk that can be made to refuse reads and writes, as a full disk does.
 class refusing_disk : public ledger::Storage {
  public:
   Result<std::optional<wire::Bytes>> get(const std::string& key) const override {
@@ -42,7 +42,7 @@
   unsigned puts = 0;
 };
 
-/// A node that hears of peers.
+/// A node that receives pings from peers.
 struct hearing_node {
   hearing_node() : members(environment, counters, self(), {}, hooks()), memory(environment, counters, log, members) {}
   static wire::MemberT member(unsigned number) {
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-TEST_CASE("peers that a node knew are remembered at its next start") {
+TEST_CASE("a node reads the peers that it stored at its next start") {
   refusing_disk disk;
   hearing_node before;
   before.memory.keep_in(disk);
@@ -88,7 +88,7 @@
   CHECK(after.members.remembered().size() == 2);
 }
 
-TEST_CASE("a change of members writes the list once, changes soon after each other share a write") {
+TEST_CASE("a change of members writes the list once, and changes in quick succession share a write") {
   refusing_disk disk;
   hearing_node node;
   node.memory.keep_in(disk);
@@ -103,8 +103,8 @@
   CHECK(disk.puts == 2);
 }
 
-// A list that could not be read must not be replaced by what little a node knows right after its start.
-TEST_CASE("a disk that refuses at the start keeps its list, and has it read when it is back") {
+// Guards against replacing a list that could not be read by the few peers that a node knows right after its start.
+TEST_CASE("a disk that refuses reads at the start keeps its list, which is read when the disk is back") {
   refusing_disk disk;
   hearing_node before;
   before.memory.keep_in(disk);
@@ -125,7 +125,7 @@
   CHECK(after.members.remembered().size() == 2);
 }
 
-TEST_CASE("a list that the disk refused is written when the disk takes writes again") {
+TEST_CASE("a list that the disk refused is written when the disk accepts writes again") {
   refusing_disk disk;
   hearing_node node;
   node.memory.keep_in(disk);
--- a/tests/node/peer_outbox_test.cpp
+++ b/tests/node/peer_outbox_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("small and bulky messages to a peer wait apart") {
+TEST_CASE("small and large messages to a peer wait in separate lanes") {
   peer_outbox outbox;
   CHECK(outbox.add(accept_of(1, 100'000), kNow, kLater) == peer_lane::bulk);
   CHECK(outbox.add(accept_of(2, 100), kNow, kLater) == peer_lane::prompt);
@@ -40,7 +40,7 @@
   CHECK(outbox.next_frame(peer_lane::bulk, kNow).empty());
 }
 
-TEST_CASE("a frame holds messages up to its bytes, and one that is longer alone") {
+TEST_CASE("a frame holds messages up to its limit in bytes; a longer message is sent alone") {
   outbox_limits limits;
   limits.frame_bytes = 100'000;
   peer_outbox outbox(limits);
@@ -53,22 +53,22 @@
   CHECK(requests_of(outbox.next_frame(peer_lane::bulk, kNow)) == requests{4});
 }
 
-TEST_CASE("a message that waited for longer than it is useful is not sent") {
+TEST_CASE("a message that has waited for longer than it is useful is dropped") {
   peer_outbox outbox;
   outbox.add(accept_of(1, 1), kNow, kNow + 1s);
   outbox.add(accept_of(2, 1), kNow, kLater);
-  SECTION("by what its sender says") {
+  SECTION("the sender's limit") {
     CHECK(requests_of(outbox.next_frame(peer_lane::prompt, kNow + 2s)) == requests{2});
     CHECK(outbox.take_dropped() == 1);
     CHECK(outbox.take_dropped() == 0);
   }
-  SECTION("by the limit for all messages") {
+  SECTION("the limit for all messages") {
     CHECK(outbox.next_frame(peer_lane::prompt, kNow + outbox_limits{}.useful_for + 1ms).empty());
     CHECK(outbox.take_dropped() == 2);
   }
 }
 
-TEST_CASE("what waits is bounded in bytes and messages, and the oldest give way") {
+TEST_CASE("waiting messages are limited in bytes and number, and the oldest are dropped") {
   outbox_limits limits;
   limits.waiting_bytes = 100'000;
   limits.waiting_messages = 2;
@@ -84,7 +84,7 @@
     }
     CHECK(requests_of(outbox.next_frame(peer_lane::prompt, kNow)) == requests{2, 3});
   }
-  SECTION("one that is larger than all room is kept while it is alone") {
+  SECTION("a message that exceeds the limit is kept while it is the only one") {
     outbox.add(accept_of(1, 200'000), kNow, kLater);
     CHECK(requests_of(outbox.next_frame(peer_lane::bulk, kNow)) == requests{1});
   }
--- a/tests/node/start_signals_test.cpp
+++ b/tests/node/start_signals_test.cpp
@@ -1,10 +1,10 @@
-/// A node that was told to take up changed settings (SIGHUP) while it started ended: in a run of real processes whose
-/// nodes were restarted one after the other, and by hand 3 ms after the start of the program. Until the node's own
-/// handler stood, at the end of its start, the kernel's default ended it, by that signal and by each of the others that
-/// a node has no use for. Only TERM, INT and KILL are to end a node, and the signals of a crash.
-/// A signal that comes while the kernel and the dynamic linker load the program meets no line of it yet: 4 to 13 ms of
-/// a core, on a machine with twice as many processes as cores. That time is bounded here; nothing that comes later may
-/// end the node.
+/// Guards against signals that terminate a starting node. A reload signal (SIGHUP) during the start did so in a rolling
+/// restart of real processes, and when sent by hand 3 ms after the start of the program. Until the node installed its
+/// handler at the end of its start, the default action of this signal, and of all other signals that a node does not
+/// use, terminated it. Only TERM, INT, KILL and the signals of a crash may terminate a node.
+/// A signal that arrives while the kernel and the dynamic linker load the program comes before any of its code runs:
+/// this takes 4 to 13 ms of processor time on a machine with twice as many processes as cores. The test bounds that
+/// time; no later signal may terminate the node.
 #include <catch2/catch.hpp>
 
 #include <signal.h>
@@ -29,15 +29,15 @@
 using milliseconds = std::chrono::milliseconds;
 using steady = std::chrono::steady_clock;
 
-constexpr milliseconds kLatest{50};     ///< After exec.
-constexpr milliseconds kStuck{30'000};  ///< A start that takes longer does not end.
-constexpr unsigned kAtOnce = 3;         ///< Processes that start side by side.
-/// Of a core, until the program's first line: the kernel's part and the dynamic linker's.
+constexpr milliseconds kLatest{50};     ///< Latest time after exec at which a signal is sent.
+constexpr milliseconds kStuck{30'000};  ///< A start that takes longer counts as stuck.
+constexpr unsigned kAtOnce = 3;         ///< Number of processes that start in parallel.
+/// Maximum processor time of the kernel and the dynamic linker before the program's first code runs.
 constexpr milliseconds kLoading{40};
 
 std::filesystem::path binaries() { return std::filesystem::read_symlink("/proc/self/exe").parent_path(); }
 
-/// One of the programs, at an address of its own.
+/// One of the node programs with a separate address and folder.
 struct node_place {
   std::string program;
   std::string address;
@@ -52,17 +52,18 @@
   return text.str();
 }
 
-/// What /proc tells of a process.
+/// State of a process according to /proc.
 struct process_view {
   std::uint64_t kept_off = 0;  ///< Signals that are blocked, ignored or handled: bit n - 1 is signal n.
   std::chrono::nanoseconds used{};
-  bool loaded = false;  ///< The dynamic linker has done its work.
+  bool loaded = false;  ///< Whether the dynamic linker has finished.
   bool keeps_off(int number) const { return ((kept_off >> (number - 1)) & 1U) != 0; }
 };
 
-/// The linker's last act on a program is to make a part of its data read-only, which parts its only writable mapping.
+/// @return whether the dynamic linker has finished: its last step makes a part of the program's data read-only, which
+/// splits the only writable mapping.
 bool is_loaded(const std::string& maps_file, const std::string& program) {
-  constexpr unsigned kReadOnlyMappings = 3;  ///< Head, constants, and the part of the data.
+  constexpr unsigned kReadOnlyMappings = 3;  ///< Header, constants and the read-only part of the data.
   unsigned read_only = 0;
   std::ifstream maps(maps_file);
   for (std::string line; std::getline(maps, line);) {
@@ -94,17 +95,17 @@
   return read.str().find(text) != std::string::npos;
 }
 
-/// A signal at a moment of a start.
+/// A signal and the time during the start at which it is sent.
 struct sent_signal {
   int number = 0;
-  milliseconds after{};  ///< Since exec.
+  milliseconds after{};  ///< Time since exec.
 };
 
 struct outcome {
   bool ended = false;
-  int exit_code = 0;     ///< As bench::Process has it.
-  bool stuck = false;    ///< Neither ended nor came to the awaited line.
-  bool loading = false;  ///< The signal met none of the program's own lines yet.
+  int exit_code = 0;     ///< In the form of bench::Process::exit_code().
+  bool stuck = false;    ///< The process neither terminated nor logged the awaited line.
+  bool loading = false;  ///< The signal was sent before any of the program's own code ran.
 };
 
 class start_player {
@@ -116,8 +117,8 @@
   }
   ~start_player() { std::filesystem::remove_all(folder_); }
 
-  /// Starts the program, sends the signal and waits for the end or for a line of the log.
-  /// @param awaited_line empty: only the end is waited for.
+  /// Starts the program, sends the signal and waits until the process terminates or logs @p awaited_line.
+  /// @param awaited_line if empty, only waits until the process terminates.
   outcome play(unsigned lane, const sent_signal& sent, const std::string& awaited_line) const {
     const node_place place = prepare(lane);
     bench::Process process;
@@ -141,7 +142,7 @@
     return seen;
   }
 
-  /// @return how much processor time a start takes until the program keeps @p numbers off.
+  /// @return the processor time of a start until the program blocks, ignores or handles all of @p numbers.
   std::chrono::nanoseconds loading_time(const std::vector<int>& numbers) const {
     const node_place place = prepare(0);
     bench::Process process;
@@ -162,11 +163,12 @@
   }
 
  private:
-  /// A program that is loaded gets the time for its first lines: between the linker and them lie some microseconds.
-  /// @return whether it is loaded.
+  /// If the program is loaded, waits until its first code has run, which starts some microseconds after the linker has
+  /// finished.
+  /// @return whether the program is loaded.
   bool await_first_lines(pid_t id, int number) const {
-    constexpr milliseconds kFirstLines{1};  ///< Of a core.
-    constexpr milliseconds kAsleep{1'000};  ///< It sleeps, and is not merely kept from running by others.
+    constexpr milliseconds kFirstLines{1};  ///< In processor time.
+    constexpr milliseconds kAsleep{1'000};  ///< After this time the process sleeps rather than waits for a processor.
     const process_view first = look_at(id, program_);
     const auto began = steady::now();
     process_view now = first;
@@ -195,7 +197,8 @@
   std::filesystem::path folder_;
 };
 
-/// Plays all of @p signals, each in a process of its own, and @return a line for each that went wrong.
+/// Sends each of @p signals to a separate process.
+/// @return a line for each signal with a wrong outcome.
 std::vector<std::string> play_all(const start_player& player, const std::vector<sent_signal>& signals,
                                   const std::string& awaited_line,
                                   const std::function<bool(const sent_signal&, const outcome&)>& right) {
@@ -222,7 +225,7 @@
   return wrong;
 }
 
-/// @return @p numbers at each @p step of the first milliseconds.
+/// @return each of @p numbers at each @p step from exec to kLatest.
 std::vector<sent_signal> at_each_moment(const std::vector<int>& numbers, milliseconds step) {
   std::vector<sent_signal> signals;
   for (const int number : numbers) {
@@ -233,15 +236,15 @@
   return signals;
 }
 
-/// What may reach a node by habit or by mistake: scripts that ask other programs to rotate logs or to dump their state,
-/// a reader of its output that has gone, timers and limits of a shell before it, a power supply that reports, the first
-/// and the last of the numbered ones.
+/// @return signals that a node may receive by habit or by mistake: from scripts that make other programs rotate logs or
+/// dump their state, from a closed reader of its output, from timers and limits inherited from a shell and from a power
+/// supply monitor; also the first and the last real-time signal.
 std::vector<int> harmless_signals() {
   return {SIGUSR1, SIGUSR2, SIGPIPE, SIGALRM,   SIGQUIT, SIGVTALRM, SIGPROF,
           SIGIO,   SIGPWR,  SIGXCPU, SIGSTKFLT, SIGXFSZ, SIGRTMIN,  SIGRTMAX};
 }
 
-/// The exit code of a process that @p number ended, as bench::Process has it.
+/// @return the exit code that bench::Process reports for a process that signal @p number terminated.
 int ended_by(int number) { return -number; }
 
 bool goes_on(const sent_signal& sent, const outcome& seen) {
@@ -249,7 +252,7 @@
   return !seen.stuck && (!seen.ended || met_no_line);
 }
 
-/// Of a stop that is asked for, the node's own end is right, too.
+/// @return whether the process terminated by the signal; after TERM and INT a regular exit is also correct.
 bool has_ended(const sent_signal& sent, const outcome& seen) {
   const bool asked = sent.number == SIGTERM || sent.number == SIGINT;
   return seen.ended && (seen.exit_code == ended_by(sent.number) || (asked && seen.exit_code == 0));
@@ -270,7 +273,7 @@
 
 }  // namespace
 
-TEST_CASE("settings changed during a start are taken, at each millisecond of it") {
+TEST_CASE("a reload signal at any millisecond of a start reloads the settings") {
   const std::vector<sent_signal> reloads = at_each_moment({SIGHUP}, 1ms);
   const start_player deployed(kDeployedProgram, "127.98.1", kWithDisk);
   const start_player own(kProgram, "127.98.2", kWithoutDisk);
@@ -282,14 +285,14 @@
   CHECK(wrong_own.empty());
 }
 
-TEST_CASE("no signal ends a node that starts but those that are to end it") {
+TEST_CASE("a starting node is terminated by no signals but those meant to terminate it") {
   const start_player deployed(kDeployedProgram, "127.98.3", kWithoutDisk);
   const auto wrong = play_all(deployed, at_each_moment(harmless_signals(), 1ms), "node_started", goes_on);
   INFO(joined(wrong));
   CHECK(wrong.empty());
 }
 
-TEST_CASE("a node that starts ends when it is told to, and by a crash") {
+TEST_CASE("a starting node terminates on request and by a crash") {
   const start_player deployed(kDeployedProgram, "127.98.4", kWithoutDisk);
   const rlimit no_core{0, 0};
   ::setrlimit(RLIMIT_CORE, &no_core);
@@ -299,7 +302,7 @@
   CHECK(wrong.empty());
 }
 
-TEST_CASE("a program keeps signals off before it does anything else") {
+TEST_CASE("a program blocks or ignores signals before it does anything else") {
   std::vector<int> numbers = harmless_signals();
   numbers.push_back(SIGHUP);
   for (const char* program : {kProgram, kDeployedProgram}) {
@@ -309,8 +312,8 @@
       taken.push_back(player.loading_time(numbers));
     }
     std::sort(taken.begin(), taken.end());
-    INFO(program << ", microseconds of a core: least " << taken.front() / 1us << ", median "
-                 << taken[taken.size() / 2] / 1us << ", most " << taken.back() / 1us);
+    INFO(program << ", microseconds of processor time: min " << taken.front() / 1us << ", median "
+                 << taken[taken.size() / 2] / 1us << ", max " << taken.back() / 1us);
     CHECK(taken.back() < kLoading);
   }
 }
