--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -143,7 +143,7 @@
  private:
   void write_lines() {
     std::unique_lock lock(mutex_);
-    std::int64_t told_dropped = 0;
+    std::int64_t reported_dropped = 0;
     while (!stopping_ || !queued_.empty()) {
       ready_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
       if (!stopping_) {
@@ -151,10 +151,10 @@
       }
       std::string lines;
       std::swap(lines, queued_);
-      if (dropped_ != told_dropped) {
+      if (dropped_ != reported_dropped) {
         lines.append(lines.empty() ? "" : "\n")
-            .append(format_line(LogLevel::warning, "log_lines_dropped", {{"lines", dropped_ - told_dropped}}));
-        told_dropped = dropped_;
+            .append(format_line(LogLevel::warning, "log_lines_dropped", {{"lines", dropped_ - reported_dropped}}));
+        reported_dropped = dropped_;
       }
       lock.unlock();
       if (!lines.empty()) {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -234,11 +234,11 @@
   if (settings.has_role("ledger") && settings.data_folder.empty()) {
     return fault(origin, "node.data_folder", "nothing", "a folder, since node.roles has ledger");
   }
-  constexpr double kMostShare = 1'024;
+  constexpr double kMaxCpuShare = 1'024;
   double share = 0;
   const char* end = settings.cpu_share.data() + settings.cpu_share.size();
   const auto parsed = std::from_chars(settings.cpu_share.data(), end, share);
-  const bool is_share = parsed.ec == std::errc() && parsed.ptr == end && share > 0 && share <= kMostShare;
+  const bool is_share = parsed.ec == std::errc() && parsed.ptr == end && share > 0 && share <= kMaxCpuShare;
   if (!settings.cpu_share.empty() && !is_share) {
     return fault(origin, "node.cpu_share", "'" + settings.cpu_share + "'",
                  "a share of a core such as 0.25, or nothing");
@@ -262,7 +262,7 @@
 
 /// Replaces the ports of the seeds by seed_port. Where all nodes listen for peers on one port, the configured seed
 /// addresses may name another port of the same nodes.
-void use_seed_port(Settings& settings) {
+void replace_seed_ports(Settings& settings) {
   if (settings.seed_port == 0) {
     return;
   }
@@ -337,7 +337,7 @@
   }
   settings.source_path = path;
   settings.source_overrides = overrides;
-  use_seed_port(settings);
+  replace_seed_ports(settings);
   if (const auto problem = check(settings, path)) {
     return *problem;
   }
--- a/src/config/versioned_table.cpp
+++ b/src/config/versioned_table.cpp
@@ -9,18 +9,19 @@
 namespace {
 /// A back end's entry has about 200 bytes, so a node that starts in a fleet of 10,000 back ends has all entries after
 /// 40 exchanges. On a link of 30 Mbit/s a delta takes 17 ms.
-constexpr std::size_t kBytesPerDelta = 64 * 1024;
-constexpr std::size_t kMostEntriesPerDelta = 512;
+constexpr std::size_t kMaxBytesPerDelta = 64 * 1024;
+constexpr std::size_t kMaxEntriesPerDelta = 512;
 constexpr std::size_t kAnnounceFanout = 3;
-constexpr std::uint64_t kFarBehind = 1'000;  ///< In revisions: more than a burst of changes, less than a full table.
+constexpr std::uint64_t kFarBehindRevisions =
+    1'000;  ///< In revisions: more than a burst of changes, less than a full table.
 /// Peers of a zone probe each other about once a second. If none of them has the table, at most twice this time is
 /// lost.
-constexpr Duration kNearPatience = 1500ms;
+constexpr Duration kSameZoneWait = 1500ms;
 constexpr Duration kPullTimeout = 250ms;
 /// Round trip of a datagram. A later reply comes from a busy peer, so the age in it is too uncertain.
-constexpr Duration kAnswerWait = 250ms;
+constexpr Duration kAgeReplyTimeout = 250ms;
 /// A peer is asked for its age only if its claim is fresher than as_of() by at least this.
-constexpr Duration kWorthAsking = 300ms;
+constexpr Duration kMinAgeImprovement = 300ms;
 
 /// Removes the fields that nodes of an earlier version do not know. Such nodes send pulls without a number, reject a
 /// back end's entry that has an unknown field and treat the back end as removed: a node of that version that started
@@ -98,12 +99,12 @@
 std::vector<EntryKey> VersionedTable::apply(std::uint64_t since, std::uint64_t up_to, const std::vector<Entry>& changes,
                                             bool complete) {
   std::vector<EntryKey> changed;
-  if (reject_older && (since > revision_ || up_to <= revision_)) {
+  if (reject_older_entries && (since > revision_ || up_to <= revision_)) {
     return changed;
   }
   for (const Entry& change : changes) {
     const auto held = entries_.find(change.key);
-    if (reject_older && held != entries_.end() && held->second.revision >= change.revision) {
+    if (reject_older_entries && held != entries_.end() && held->second.revision >= change.revision) {
       continue;
     }
     hold(change);
@@ -168,11 +169,11 @@
 
 void TableReplicator::on_peer_revision(const PeerAddress& peer, std::uint64_t revision, std::uint32_t age_ms) {
   if (revision > table_.revision()) {
-    if (revision > wanted_) {
-      wanted_ = revision;
+    if (revision > claimed_revision_) {
+      claimed_revision_ = revision;
       claimant_ = peer;
     }
-    if (!pulling_from_ && !waits_for_near(peer)) {
+    if (!pulling_from_ && !waits_for_same_zone(peer)) {
       pull(peer);
     }
     return;
@@ -180,39 +181,39 @@
   // This node holds everything that the source had at the time that the peer's claim names.
   const bool known = age_ms != kUnknownAge;
   const Timestamp claimed = known ? environment_.now() - std::chrono::milliseconds(age_ms) : Timestamp{};
-  if (!known || claimed < as_of_ + kWorthAsking) {
+  if (!known || claimed < as_of_ + kMinAgeImprovement) {
     return;
   }
   if (!ask_for_age) {
     as_of_ = claimed;
-  } else if (!asked_at_ || environment_.now() - *asked_at_ > kAnswerWait) {
-    ask_age(peer);
+  } else if (!age_requested_at_ || environment_.now() - *age_requested_at_ > kAgeReplyTimeout) {
+    request_age(peer);
   }
 }
 
-bool TableReplicator::is_far_behind() const { return wanted_ > table_.revision() + kFarBehind; }
+bool TableReplicator::is_far_behind() const { return claimed_revision_ > table_.revision() + kFarBehindRevisions; }
 
-bool TableReplicator::waits_for_near(const PeerAddress& peer) {
-  if (!is_near_ || !is_far_behind() || is_near_(peer)) {
-    near_awaited_until_.reset();
+bool TableReplicator::waits_for_same_zone(const PeerAddress& peer) {
+  if (!is_same_zone_ || !is_far_behind() || is_same_zone_(peer)) {
+    same_zone_wait_until_.reset();
     return false;
   }
   const Timestamp now = environment_.now();
-  if (!near_awaited_until_) {
+  if (!same_zone_wait_until_) {
     // The random part staggers the nodes of a zone, so that the first ones to stop waiting pull the table for the
     // others.
-    const auto extra = static_cast<Duration::rep>(environment_.random() % kNearPatience.count());
-    near_awaited_until_ = now + kNearPatience + Duration(extra);
+    const auto extra = static_cast<Duration::rep>(environment_.random() % kSameZoneWait.count());
+    same_zone_wait_until_ = now + kSameZoneWait + Duration(extra);
   }
-  return now < *near_awaited_until_;
+  return now < *same_zone_wait_until_;
 }
 
-void TableReplicator::ask_age(const PeerAddress& peer) {
-  asked_at_ = environment_.now();
+void TableReplicator::request_age(const PeerAddress& peer) {
+  age_requested_at_ = environment_.now();
   counters_["table_age_questions_total"]++;
   wire::RevisionQuestionT question;
   question.table = id_;
-  question.number = ++question_;
+  question.number = ++age_request_number_;
   send_message(environment_, peer, std::move(question));
 }
 
@@ -232,12 +233,12 @@
 }
 
 void TableReplicator::handle(const wire::RevisionAnswerT& message) {
-  if (!asked_at_ || message.number != question_) {
+  if (!age_requested_at_ || message.number != age_request_number_) {
     counters_["table_age_answers_stale_total"]++;
     return;
   }
-  const Timestamp asked_at = *asked_at_;
-  asked_at_.reset();
+  const Timestamp asked_at = *age_requested_at_;
+  age_requested_at_.reset();
   if (message.revision <= table_.revision()) {
     confirm(asked_at, message.age_ms);
   }
@@ -259,7 +260,7 @@
     // No reply. The next claim, which comes with a peer's next probe, starts another pull.
     counters_["table_pull_timeouts_total"]++;
     pulling_from_.reset();
-    wanted_ = 0;
+    claimed_revision_ = 0;
   }));
 }
 
@@ -271,9 +272,9 @@
   delta.up_to = table_.revision();
   delta.age_ms = age_ms();
   std::size_t bytes = 0;
-  const auto changes = table_.changes_after(message.since, kMostEntriesPerDelta + 1);
+  const auto changes = table_.changes_after(message.since, kMaxEntriesPerDelta + 1);
   for (const Entry* change : changes) {
-    const bool full = delta.entries.size() >= kMostEntriesPerDelta || bytes > kBytesPerDelta;
+    const bool full = delta.entries.size() >= kMaxEntriesPerDelta || bytes > kMaxBytesPerDelta;
     if (full && delta.entries.back()->revision != change->revision) {
       delta.up_to = delta.entries.back()->revision;
       delta.age_ms = kUnknownAge;
@@ -299,7 +300,7 @@
   const std::uint64_t before = table_.revision();
   const bool news = take(message.since, message.up_to, changes, false);
   // A revision that is known to be behind is not announced, as the next delta follows immediately.
-  if (news && table_.revision() >= wanted_) {
+  if (news && table_.revision() >= claimed_revision_) {
     announce();
   }
   if (!pulling_from_ || *pulling_from_ != sender) {
@@ -310,14 +311,15 @@
   }
   ++pull_number_;
   pulling_from_.reset();
-  if (wanted_ <= table_.revision()) {
+  if (claimed_revision_ <= table_.revision()) {
     return;
   }
   if (table_.revision() > before || sender != claimant_) {
-    const bool goes_on = table_.revision() > before && is_far_behind() && is_near_ && is_near_(sender);
-    pull(goes_on ? sender : claimant_);
+    const bool continues_with_sender =
+        table_.revision() > before && is_far_behind() && is_same_zone_ && is_same_zone_(sender);
+    pull(continues_with_sender ? sender : claimant_);
   } else {
-    wanted_ = 0;  // the claimant does not hold the claimed revision; immediate retries would never end
+    claimed_revision_ = 0;  // the claimant does not hold the claimed revision; immediate retries would never end
   }
 }
 
--- a/src/config/versioned_table.hpp
+++ b/src/config/versioned_table.hpp
@@ -49,7 +49,7 @@
   std::size_t size() const { return entries_.size(); }
 
   /// The simulation sets this to false to disable the check that an older entry never replaces a newer one.
-  bool reject_older = true;
+  bool reject_older_entries = true;
 
  private:
   void hold(const Entry& change);
@@ -90,7 +90,7 @@
   /// Makes a node that is far behind prefer to pull from peers in its zone: a table of 10,000 back ends is 2 MB, and
   /// all nodes of a starting fleet pull it.
   /// @param is_near returns whether a peer is in this node's zone.
-  void prefer_near(std::function<bool(const PeerAddress&)> is_near) { is_near_ = std::move(is_near); }
+  void prefer_same_zone(std::function<bool(const PeerAddress&)> is_near) { is_same_zone_ = std::move(is_near); }
   /// @return whether a pull from a peer is waiting for its reply.
   bool pulls() const { return pulling_from_.has_value(); }
   /// Sends the table's revision and age to @p peers.
@@ -117,9 +117,9 @@
   void announce();
   void pull(const PeerAddress& peer);
   /// @return whether to ignore the claim of @p peer for now, as a peer in this zone may soon hold the same revision.
-  bool waits_for_near(const PeerAddress& peer);
+  bool waits_for_same_zone(const PeerAddress& peer);
   bool is_far_behind() const;
-  void ask_age(const PeerAddress& peer);
+  void request_age(const PeerAddress& peer);
   /// Updates as_of(): the source had no revision later than the table's @p age_ms before @p asked_at.
   void confirm(Timestamp asked_at, std::uint32_t age_ms);
 
@@ -132,16 +132,16 @@
   Timestamp as_of_{};
   Timestamp watched_until_{};
   Timestamp unchanged_until_{};
-  std::function<bool(const PeerAddress&)> is_near_;  ///< May be empty.
+  std::function<bool(const PeerAddress&)> is_same_zone_;  ///< May be empty.
   std::optional<Timestamp>
-      near_awaited_until_;  ///< Set while this node is far behind and only peers of other zones claim more.
+      same_zone_wait_until_;  ///< Set while this node is far behind and only peers of other zones claim more.
   std::optional<PeerAddress> pulling_from_;
   Timestamp pulled_at_{};
-  std::uint64_t wanted_ = 0;  ///< Latest revision that a peer claims to hold.
-  PeerAddress claimant_;      ///< The peer that claims wanted_.
+  std::uint64_t claimed_revision_ = 0;  ///< Latest revision that a peer claims to hold.
+  PeerAddress claimant_;                ///< The peer that claims claimed_revision_.
   std::uint64_t pull_number_ = 0;
-  std::uint64_t question_ = 0;         ///< Number of the latest request for a peer's age.
-  std::optional<Timestamp> asked_at_;  ///< When that request was sent; empty if no reply is awaited.
+  std::uint64_t age_request_number_ = 0;       ///< Number of the latest request for a peer's age.
+  std::optional<Timestamp> age_requested_at_;  ///< When that request was sent; empty if no reply is awaited.
   Lifetime lifetime_;
 };
 
--- a/src/node/asio_environment.cpp
+++ b/src/node/asio_environment.cpp
@@ -9,11 +9,11 @@
 using udp = asio::ip::udp;
 
 constexpr std::size_t kMaxFrameBytes = 32 * 1024 * 1024;
-constexpr std::chrono::seconds kFrameTime{5};  ///< Timeout for a frame's response, plus the time to send its bytes.
+constexpr std::chrono::seconds kFrameTimeout{5};  ///< Timeout for a frame's response, plus the time to send its bytes.
 /// Lowest rate at which a peer can receive a long frame before it times out.
-constexpr std::size_t kLeastBytesPerSecond = 256 << 10;
-constexpr Duration kLossLinePause = 1s;  ///< Minimum time between two log lines about lost frames.
-constexpr unsigned kTaken = 204;
+constexpr std::size_t kMinBytesPerSecond = 256 << 10;
+constexpr Duration kLossLogInterval = 1s;  ///< Minimum time between two log lines about lost frames.
+constexpr unsigned kNoContentStatus = 204;
 
 bool is_datagram(wire::Message type) {
   return type == wire::Message::Ping || type == wire::Message::PingRequest || type == wire::Message::Ack ||
@@ -26,7 +26,7 @@
 /// @return whether the message is about a single call. If such a message is lost, it is repeated within a second, or
 /// its sender continues without a reply after some milliseconds. A connection and a response for each of them would be
 /// most of a small node's work.
-bool is_of_a_call(wire::Message type) {
+bool is_about_call(wire::Message type) {
   return type == wire::Message::PlaceRequest || type == wire::Message::PlaceReply ||
          type == wire::Message::PlaceWithdrawal || type == wire::Message::PlaceRoom ||
          type == wire::Message::OnlineActivity || type == wire::Message::EngineActivity ||
@@ -34,7 +34,7 @@
 }
 
 /// Size that fits into one packet on every network; longer messages are sent over connections.
-constexpr std::size_t kMostDatagramBytes = 1'200;
+constexpr std::size_t kMaxDatagramBytes = 1'200;
 
 std::mt19937_64 seeded_generator() {
   std::random_device device;
@@ -114,10 +114,10 @@
     asio::post(context_, [this, incoming] { on_message_(*incoming); });
     return;
   }
-  if (is_datagram(message.type) || is_of_a_call(message.type)) {
+  if (is_datagram(message.type) || is_about_call(message.type)) {
     const std::vector<wire::MessageUnion> messages(1, message);
     const wire::Bytes frame = wire::encode_frame(self_, messages);
-    if (is_datagram(message.type) || frame.size() <= kMostDatagramBytes) {
+    if (is_datagram(message.type) || frame.size() <= kMaxDatagramBytes) {
       send_datagram(to, frame);
       return;
     }
@@ -163,14 +163,14 @@
   request.target = kPeerMessagesPath;
   request.body.assign(reinterpret_cast<const char*>(frame.data()), frame.size());
   net::ClientCallOptions options;
-  options.idle_timeout = kFrameTime + std::chrono::milliseconds(frame.size() * 1000 / kLeastBytesPerSecond);
+  options.idle_timeout = kFrameTimeout + std::chrono::milliseconds(frame.size() * 1000 / kMinBytesPerSecond);
   client_.fetch(
       to.str(), std::move(request),
       [this, to, sent](const std::variant<net::SimpleResponse, net::CallBreak>& result) {
         const auto* response = std::get_if<net::SimpleResponse>(&result);
         if (response == nullptr) {
           note_lost(to, sent, net::call_break_name(std::get<net::CallBreak>(result)));
-        } else if (response->status != kTaken) {
+        } else if (response->status != kNoContentStatus) {
           note_lost(to, sent, "status " + std::to_string(response->status) + ": " + response->body);
         }
         flush(to, sent.lane);
@@ -182,11 +182,11 @@
   counters_["peer_frames_failed_total"]++;
   counters_["peer_frame_messages_lost_total"] += static_cast<CounterValue>(sent.messages);
   ++losses_;
-  const bool said_just_now = loss_said_at_.count() != 0 && now() - loss_said_at_ < kLossLinePause;
-  if (log_ == nullptr || said_just_now) {
+  const bool logged_recently = loss_logged_at_.count() != 0 && now() - loss_logged_at_ < kLossLogInterval;
+  if (log_ == nullptr || logged_recently) {
     return;
   }
-  loss_said_at_ = now();
+  loss_logged_at_ = now();
   log_->record("peer_frame_lost", {{"peer", to.str()},
                                    {"bulk", sent.lane == peer_lane::bulk},
                                    {"messages", sent.messages},
--- a/src/node/asio_environment.hpp
+++ b/src/node/asio_environment.hpp
@@ -73,7 +73,7 @@
   OnMessage on_message_;
   std::map<PeerAddress, Outbox> outboxes_;
   DecisionLog* log_ = nullptr;
-  Timestamp loss_said_at_{};
+  Timestamp loss_logged_at_{};
   std::size_t losses_ = 0;  ///< Frames lost since the last log line about lost frames.
   std::mt19937_64 generator_;
 };
--- a/src/node/daemon.cpp
+++ b/src/node/daemon.cpp
@@ -20,18 +20,18 @@
 namespace {
 
 namespace asio = boost::asio;
-constexpr Duration kDrainCheck = 50ms;
-constexpr Duration kReadinessCheck = 250ms;  ///< Only for the log: readiness probes get the current state.
+constexpr Duration kDrainCheckInterval = 50ms;
+constexpr Duration kReadinessCheckInterval = 250ms;  ///< Only for the log: readiness probes get the current state.
 /// Added to the idle timeout, since callers start to measure a connection's idle time a little later than this node.
 constexpr std::chrono::milliseconds kIdleMargin{500};
-constexpr std::size_t kSeedsNamed = 8;  ///< Maximum number of seeds in a log line.
-constexpr std::size_t kProbeBodyBytes = 4096;
+constexpr std::size_t kMaxSeedsLogged = 8;  ///< Maximum number of seeds in a log line.
+constexpr std::size_t kMaxProbeBodyBytes = 4096;
 /// A node whose disk is not open after this time joins without it.
-constexpr Duration kOpeningPatience = disk_watch::kSlowAfter;
+constexpr Duration kDiskOpenTimeout = disk_watch::kSlowAfter;
 /// With at least three replicas, a confirmed record is on two disks or more, whatever number of losses is configured;
 /// more than seven replicas cost more than they save.
-constexpr std::size_t kLeastReplicas = 3;
-constexpr std::size_t kMostReplicas = 7;
+constexpr std::size_t kMinReplicas = 3;
+constexpr std::size_t kMaxReplicas = 7;
 
 /// Owns all parts of a node. The order of the members sets the order of their destruction.
 class Daemon {
@@ -59,7 +59,7 @@
       background_.join();  // the disk may still be opening
       return prepared;
     }
-    if (disk_is_awaited_) {
+    if (disk_open_pending_) {
       core_->on_disk_refused();
     }
     core_->start();
@@ -87,7 +87,7 @@
  private:
   static std::string text_of_seeds(const std::vector<std::string>& seeds) {
     std::string text;
-    for (std::size_t number = 0; number < std::min(kSeedsNamed, seeds.size()); ++number) {
+    for (std::size_t number = 0; number < std::min(kMaxSeedsLogged, seeds.size()); ++number) {
       text += (text.empty() ? "" : ", ") + seeds[number];
     }
     return text;
@@ -139,11 +139,11 @@
     disk_opening_since_ = environment_.now();
     disk_opener_ = std::make_unique<ledger::disk_opener>(settings_.data_folder, random, executors, disk_opener_hooks());
     disk_opener_->begin();
-    auto outcome = disk_opener_->wait(kOpeningPatience);
-    disk_is_awaited_ = !outcome || !succeeded(*outcome);
-    if (!disk_is_awaited_) {
+    auto outcome = disk_opener_->wait(kDiskOpenTimeout);
+    disk_open_pending_ = !outcome || !succeeded(*outcome);
+    if (!disk_open_pending_) {
       ledger::OpenedDisk& disk = value_of(*outcome);
-      tell_opened(disk);
+      log_disk_opened(disk);
       options.self.disk_id = disk.identity;
       storage_ = std::move(disk.storage);
     } else if (!outcome || ledger::is_worth_another_attempt(error_of(*outcome))) {
@@ -169,8 +169,8 @@
 
   std::int64_t disk_opening_ms() const { return (environment_.now() - disk_opening_since_) / 1ms; }
 
-  void tell_opened(const ledger::OpenedDisk& disk) const {
-    tell_identity(disk);
+  void log_disk_opened(const ledger::OpenedDisk& disk) const {
+    log_disk_identity(disk);
     log_event(LogLevel::info, "disk_opened",
               {{"disk", disk.identity}, {"took_ms", disk_opening_ms()}, {"log_bytes", disk.log_bytes}});
   }
@@ -191,7 +191,7 @@
     });
   }
 
-  static void tell_identity(const ledger::OpenedDisk& disk) {
+  static void log_disk_identity(const ledger::OpenedDisk& disk) {
     if (disk.reason != ledger::NewIdentityReason::none) {
       log_event(LogLevel::warning, "disk_identity_made",
                 {{"disk", disk.identity},
@@ -241,7 +241,7 @@
     ledger::disk_opener_hooks hooks;
     hooks.refused = [this](const Error& error) { note_disk_not_opened(error); };
     hooks.opened = [this](ledger::OpenedDisk disk) {
-      tell_opened(disk);
+      log_disk_opened(disk);
       storage_->take_over(std::move(disk.storage));
       note_disk_regained();
       core_->on_disk_opened(DiskId(disk.identity));
@@ -284,7 +284,7 @@
     options.controller.group_count = static_cast<std::size_t>(settings_.ledger_groups);
     options.controller.replace_after = std::chrono::milliseconds(settings_.ledger_replace_after_ms);
     const auto losses = static_cast<std::size_t>(settings_.ledger_tolerated_losses);
-    options.controller.replicas = std::clamp(2 * losses + 1, kLeastReplicas, kMostReplicas);
+    options.controller.replicas = std::clamp(2 * losses + 1, kMinReplicas, kMaxReplicas);
     options.controller.group_check = std::chrono::milliseconds(settings_.ledger_check_ms);
     options.controller.readers = static_cast<std::size_t>(settings_.platform_readers);
     options.controller.all_read_up_to = static_cast<std::size_t>(settings_.platform_all_read_up_to);
@@ -326,7 +326,7 @@
         continue;
       }
       net::ServerOptions options;
-      options.max_body_bytes = kProbeBodyBytes;
+      options.max_body_bytes = kMaxProbeBodyBytes;
       options.refusal = [](const Error& error) { return gateway::problem(error); };
       probe_servers_.push_back(std::make_unique<net::HttpServer>(
           context_, counters_,
@@ -364,7 +364,7 @@
   }
 
   void watch_readiness() {
-    environment_.after(kReadinessCheck, [this] { watch_readiness(); });
+    environment_.after(kReadinessCheckInterval, [this] { watch_readiness(); });
     if (!fleet_known_ && core_->members.knows_fleet()) {
       fleet_known_ = true;
       log_event(LogLevel::info, "fleet_known", {{"node", settings_.id}, {"live", core_->members.live_count()}});
@@ -406,7 +406,7 @@
       context_.stop();
       return;
     }
-    environment_.after(kDrainCheck, [this, quiet] { finish_drain(quiet); });
+    environment_.after(kDrainCheckInterval, [this, quiet] { finish_drain(quiet); });
   }
 
   const config::Settings settings_;
@@ -422,7 +422,7 @@
   asio::thread_pool background_;
   std::unique_ptr<ledger::RocksDbStorage> storage_;
   std::unique_ptr<ledger::disk_opener> disk_opener_;
-  bool disk_is_awaited_ = false;  ///< The disk was not open yet when the node joined.
+  bool disk_open_pending_ = false;  ///< The disk was not open yet when the node joined.
   std::unique_ptr<NodeCore> core_;
   std::unique_ptr<gateway::ApiContext> api_context_;
   std::unique_ptr<CallerInterface> api_;
--- a/src/node/disk_watch.cpp
+++ b/src/node/disk_watch.cpp
@@ -7,7 +7,7 @@
 namespace madderdeck::node {
 namespace {
 
-constexpr std::chrono::milliseconds kLookEvery{250};
+constexpr std::chrono::milliseconds kCheckInterval{250};
 
 std::chrono::milliseconds in_milliseconds(disk_watch::clock::duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-disk_watch::disk_watch(Tell tell) : tell_(std::move(tell)), thread_([this] { watch(); }) {}
+disk_watch::disk_watch(ReportHandler tell) : report_(std::move(tell)), thread_([this] { watch(); }) {}
 
 disk_watch::~disk_watch() {
   {
@@ -31,7 +31,7 @@
   Kind& kind = kind_of(operation);
   if (kind.depth++ == 0) {
     kind.began = clock::now();
-    kind.told_next = kSlowAfter;
+    kind.next_report_after = kSlowAfter;
   }
 }
 
@@ -46,7 +46,7 @@
     slow = {operation, in_milliseconds(clock::now() - kind.began), callers_waiting_, true};
   }
   if (slow.lasts >= kSlowAfter) {
-    tell_(slow);
+    report_(slow);
   }
 }
 
@@ -58,7 +58,7 @@
 void disk_watch::watch() {
   std::unique_lock lock(mutex_);
   while (!ends_) {
-    changed_.wait_for(lock, kLookEvery, [this] { return ends_; });
+    changed_.wait_for(lock, kCheckInterval, [this] { return ends_; });
     look(lock);
   }
 }
@@ -69,15 +69,15 @@
   for (std::size_t number = 0; number < kinds_.size(); ++number) {
     Kind& kind = kinds_.at(number);
     const auto lasts = now - kind.began;
-    if (kind.depth == 0 || lasts < kind.told_next) {
+    if (kind.depth == 0 || lasts < kind.next_report_after) {
       continue;
     }
-    kind.told_next = lasts + std::min<clock::duration>(lasts, kMostBetweenTellings);
+    kind.next_report_after = lasts + std::min<clock::duration>(lasts, kMaxReportInterval);
     found.push_back({static_cast<ledger::disk_operation>(number), in_milliseconds(lasts), callers_waiting_, false});
   }
   lock.unlock();
   for (const slow_disk_operation& slow : found) {
-    tell_(slow);
+    report_(slow);
   }
   lock.lock();
 }
--- a/src/node/disk_watch.hpp
+++ b/src/node/disk_watch.hpp
@@ -24,15 +24,15 @@
 class disk_watch : public ledger::disk_observer {
  public:
   using clock = std::chrono::steady_clock;
-  using Tell = std::function<void(const slow_disk_operation&)>;
+  using ReportHandler = std::function<void(const slow_disk_operation&)>;
 
   /// An operation is first reported after this time, then each time its duration has doubled (but at least every
-  /// kMostBetweenTellings), and when it has ended.
+  /// kMaxReportInterval), and when it has ended.
   static constexpr std::chrono::milliseconds kSlowAfter{1000};
-  static constexpr std::chrono::milliseconds kMostBetweenTellings{60'000};
+  static constexpr std::chrono::milliseconds kMaxReportInterval{60'000};
 
   /// @param tell called with each slow operation, on any thread.
-  explicit disk_watch(Tell tell);
+  explicit disk_watch(ReportHandler tell);
   ~disk_watch() override;
   disk_watch(const disk_watch&) = delete;
   disk_watch& operator=(const disk_watch&) = delete;
@@ -45,13 +45,13 @@
   struct Kind {
     unsigned depth = 0;
     clock::time_point began{};
-    clock::duration told_next{};
+    clock::duration next_report_after{};
   };
   Kind& kind_of(ledger::disk_operation operation) { return kinds_.at(static_cast<std::size_t>(operation)); }
   void watch();
   void look(std::unique_lock<std::mutex>& lock);
 
-  const Tell tell_;
+  const ReportHandler report_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::array<Kind, ledger::kDiskOperations> kinds_;
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -4,26 +4,26 @@
 
 namespace madderdeck::node {
 namespace {
-constexpr Duration kActivityDelay = 2ms;   ///< Changes within this time share a message.
-constexpr Duration kActivityQuiet = 20ms;  ///< Delay for reports of a lower count.
-constexpr Duration kActivityRefresh = 1s;
-constexpr Duration kStarting = 2s;
-constexpr Duration kQueueReports = 250ms;
-constexpr int kPollsSavedByCoordination = 4;
+constexpr Duration kActivityIncreaseDelay = 2ms;   ///< Changes within this time share a message.
+constexpr Duration kActivityDecreaseDelay = 20ms;  ///< Delay for reports of a lower count.
+constexpr Duration kActivityRefreshInterval = 1s;
+constexpr Duration kStartupPeriod = 2s;
+constexpr Duration kQueueReportInterval = 250ms;
+constexpr int kCoordinatedPollFactor = 4;
 /// Requests that a dead node had sent keep running for some seconds, and only the back ends' load reports show them.
-constexpr Duration kAskedAfterDeath = 5s;
+constexpr Duration kPollAllAfterDeath = 5s;
 /// In fleets of at most this many nodes the complete list of back ends is small, so a starting node pulls it from any
 /// peer.
-constexpr std::size_t kFewNodes = 200;
+constexpr std::size_t kSmallFleetNodes = 200;
 /// Time for which dead nodes still get suspicion messages. A node that was declared dead by mistake has refuted it
 /// after this time, even if 30 in 100 messages are lost.
-constexpr Duration kDeadStillTold = 10s;
+constexpr Duration kSuspicionsToDeadFor = 10s;
 /// A node from which this node received a message within this time counts as reachable, whatever others report of it.
-constexpr Duration kHeardLately = 1s;
+constexpr Duration kReachableAfterMessage = 1s;
 /// A node to which most others became unreachable within this time assumes that it is disconnected itself; members that
 /// died longer ago count as gone.
-constexpr Duration kCutOffTime = 60s;
-constexpr Duration kUnknownKindLines = 10s;  ///< Minimum time between log lines about messages of unknown kinds.
+constexpr Duration kDisconnectionWindow = 60s;
+constexpr Duration kUnknownKindLogInterval = 10s;  ///< Minimum time between log lines about messages of unknown kinds.
 }  // namespace
 
 using membership::has_role;
@@ -78,7 +78,7 @@
           [this](const BackendId& backend) { return is_leaving(backend); }, options.guards.quarantine),
       limiter(environment, counters, log, members, options.rate_window),
       declarations(environment, counters, dependencies.platform, options.guards.declarations) {
-  objects.table().reject_older = options.guards.reject_older_config;
+  objects.table().reject_older_entries = options.guards.reject_older_config;
   if (dependencies.upstream != nullptr) {
     forwarder = std::make_unique<forwarding::Forwarder>(
         environment, counters, log, registry, *dependencies.upstream,
@@ -86,10 +86,10 @@
         options.guards.forward);
     forwarder->use_repeat_guard(quarantine);
     forwarder->allow_warming([this](const routing::Backend& backend) { return allows_warming(backend); });
-    forwarder->on_reading([this](const BackendId& engine, Duration expected) { tell_reading(engine, expected); });
+    forwarder->on_reading([this](const BackendId& engine, Duration expected) { announce_prefill(engine, expected); });
   }
-  machines.prefer_near(
-      [this](const PeerAddress& peer) { return members.live_count() <= kFewNodes || members.is_near(peer); });
+  machines.prefer_same_zone(
+      [this](const PeerAddress& peer) { return members.live_count() <= kSmallFleetNodes || members.is_near(peer); });
   registry.set_leave_notice(options.leave_notice);
   registry.use_list_age([this] { return environment.now() - machines.as_of(); });
   registry.on_lapse = [this](const BackendId& backend, bool kept, const routing::lapse& how) {
@@ -119,7 +119,7 @@
     if (options.guards.changes.members_miss_silent_ones) {
       // If most of the fleet is unreachable, this node itself is probably disconnected, so no member counts as gone.
       replica->is_there = [this](const ledger::ReplicaIdentity& member) {
-        return is_there(member) || misses_most_of_fleet();
+        return is_there(member) || most_of_fleet_unreachable();
       };
     }
   }
@@ -168,7 +168,7 @@
   };
   hooks.on_change = [this](const wire::MemberT& member) {
     if (member.state == wire::MemberState::Dead) {
-      ask_all_until_ = environment.now() + kAskedAfterDeath;
+      poll_all_until_ = environment.now() + kPollAllAfterDeath;
     }
     if (on_member_change) {
       on_member_change(member);
@@ -179,7 +179,7 @@
       replica->catch_up();
     }
   };
-  hooks.on_not_found = [this](const membership::fleet_search& search) { tell_not_found(search); };
+  hooks.on_not_found = [this](const membership::fleet_search& search) { log_fleet_not_found(search); };
   hooks.on_found = [this](const membership::fleet_search& search, const PeerAddress& by, membership::found_by who) {
     log.record("fleet_joined", {{"node", members.self().id},
                                 {"by", membership::name_of(who)},
@@ -192,7 +192,7 @@
   return hooks;
 }
 
-void NodeCore::tell_not_found(const membership::fleet_search& search) {
+void NodeCore::log_fleet_not_found(const membership::fleet_search& search) {
   constexpr std::size_t kSeedsNamed = 8;
   std::string seeds;
   for (std::size_t number = 0; number < std::min(kSeedsNamed, members.seeds().size()); ++number) {
@@ -210,7 +210,7 @@
 
 void NodeCore::start() {
   started_at_ = environment.now();
-  ask_all_until_ = started_at_ + kAskedAfterDeath;
+  poll_all_until_ = started_at_ + kPollAllAfterDeath;
   if (replica) {
     remembered_peers.keep_in(*storage_);
   }
@@ -313,7 +313,7 @@
   // Includes recently dead nodes, since a node that is wrongly declared dead keeps sending requests: in two groups of
   // nodes that declared each other dead, one request terminated three engines in each group.
   std::set<PeerAddress> others;
-  for (const wire::MemberT* member : members.others_not_long_dead(kDeadStillTold)) {
+  for (const wire::MemberT* member : members.others_not_long_dead(kSuspicionsToDeadFor)) {
     if (has_role(*member, Role::gateway) || has_role(*member, Role::scheduler) || has_role(*member, Role::ledger)) {
       others.insert(PeerAddress(member->peer_address));
     }
@@ -338,24 +338,24 @@
   catalog.update(apart ? groups.table() : objects.table(), keys);
   live.set_policy(catalog.policy());
   services.set_policy(catalog.policy());
-  if (catalog.routes() != told_routes_) {
-    told_routes_ = catalog.routes();
-    for (const forwarding::Pool& pool : told_routes_->pools) {
+  if (catalog.routes() != reported_routes_) {
+    reported_routes_ = catalog.routes();
+    for (const forwarding::Pool& pool : reported_routes_->pools) {
       registry.set_warm_up(pool.name, {std::chrono::milliseconds(pool.warm_up_ms), pool.warm_up_per_second});
     }
-    log.record("routes_taken", {{"version", told_routes_->version},
-                                {"routes", told_routes_->routes.size()},
+    log.record("routes_taken", {{"version", reported_routes_->version},
+                                {"routes", reported_routes_->routes.size()},
                                 {"revision", objects.table().revision()}});
     if (queues) {
       std::uint64_t least = 0;
-      for (const forwarding::Route& route : told_routes_->routes) {
+      for (const forwarding::Route& route : reported_routes_->routes) {
         const std::uint64_t limit = route.max_queued_tokens;
         least = limit > 0 && (least == 0 || limit < least) ? limit : least;
       }
       queues->set_least_limit(least);
     }
     if (on_routes_change) {
-      on_routes_change(*told_routes_);
+      on_routes_change(*reported_routes_);
     }
     tell_configured();
   }
@@ -363,13 +363,13 @@
     if (key.kind == config::kReplicaGroupsKind) {
       ledger.on_group_map(catalog.groups());
       if (replica) {
-        match_replica_and_client();
+        exchange_group_epochs();
       }
     }
   }
 }
 
-void NodeCore::match_replica_and_client() {
+void NodeCore::exchange_group_epochs() {
   // The replica's disk may hold later epochs than the platform's store, and perhaps no other node knows them any more.
   for (const auto& [group, description] : replica->descriptions()) {
     ledger.learn(group, description);
@@ -397,7 +397,7 @@
   if (replica) {
     remembered_peers.keep_in(*storage_);
     replica->resume();
-    match_replica_and_client();
+    exchange_group_epochs();
   }
 }
 
@@ -415,8 +415,8 @@
   registry.update(machines.table(), keys, machines.unchanged_until());
   tell_configured();
   // A starting node learns of all back ends at once; one line per back end would be most of its log.
-  constexpr std::size_t kMostListedApart = 16;
-  const bool apart = keys.size() <= kMostListedApart;
+  constexpr std::size_t kMaxListedSeparately = 16;
+  const bool apart = keys.size() <= kMaxListedSeparately;
   if (!apart) {
     log.record("backends_listed", {{"changed", keys.size()},
                                    {"known", registry.backends().size()},
@@ -436,7 +436,7 @@
     // In a large fleet the dispatchers fetch the reports; otherwise each start would cause one load report for each
     // pair of node and engine.
     const bool few = registry.backends().size() <= routing::kMostBackendsBeforeFleet;
-    const bool just_started = few && environment.now() - started_at_ < kStarting;
+    const bool just_started = few && environment.now() - started_at_ < kStartupPeriod;
     if (just_started && shares_calls_ && !duties.divided() && forwarder && backend != nullptr &&
         backend->reported_at.count() == 0) {
       fetch_load(backend->machine.id);
@@ -448,10 +448,10 @@
 /// its frame are still processed.
 void NodeCore::note_unknown_kind(const PeerAddress& sender, unsigned kind) {
   counters["peer_messages_unknown_total"]++;
-  if (unknown_kind_said_at_ && environment.now() - *unknown_kind_said_at_ < kUnknownKindLines) {
+  if (unknown_kind_logged_at_ && environment.now() - *unknown_kind_logged_at_ < kUnknownKindLogInterval) {
     return;
   }
-  unknown_kind_said_at_ = environment.now();
+  unknown_kind_logged_at_ = environment.now();
   log.record("peer_message_unknown",
              {{"peer", sender.str()}, {"kind", kind}, {"in_all", counters["peer_messages_unknown_total"]}});
 }
@@ -705,12 +705,12 @@
   }
   // Peers may report a node as dead from which this node has just received a message.
   const auto word = members.last_word_of(member.node);
-  const bool heard_lately = word && word->first_hand && word->age < kHeardLately;
-  return known->state == wire::MemberState::Alive || heard_lately;
+  const bool received_recently = word && word->first_hand && word->age < kReachableAfterMessage;
+  return known->state == wire::MemberState::Alive || received_recently;
 }
 
-bool NodeCore::misses_most_of_fleet() const {
-  const std::size_t lately_known = members.others_not_long_dead(kCutOffTime).size() + 1;
+bool NodeCore::most_of_fleet_unreachable() const {
+  const std::size_t lately_known = members.others_not_long_dead(kDisconnectionWindow).size() + 1;
   return 2 * members.live_count() < lately_known;
 }
 
@@ -750,8 +750,8 @@
 
 void NodeCore::when_configured(std::function<void(bool)> done) {
   /// Maximum number of waiting requests; more would only be refused later.
-  constexpr std::size_t kMostAwaiting = 2'000;
-  if (configured() || awaiting_configuration_.size() >= kMostAwaiting) {
+  constexpr std::size_t kMaxWaitingRequests = 2'000;
+  if (configured() || awaiting_configuration_.size() >= kMaxWaitingRequests) {
     done(configured());
     return;
   }
@@ -877,7 +877,7 @@
 }
 
 std::size_t NodeCore::connection_share(const BackendId& backend) const {
-  constexpr std::size_t kLeastShare = 4;
+  constexpr std::size_t kMinConnectionShare = 4;
   constexpr std::size_t kUnlimited = 10'000;
   constexpr std::size_t kReservePercent = 90;  ///< The rest is reserved for gateways that this node does not know yet.
   const auto entry = registry.backends().find(backend);
@@ -892,7 +892,7 @@
       // The engine's only dispatcher must be able to use all its slots. With many gateways, an equal share of the
       // connections would be fewer than the slots.
       const std::size_t for_batch = std::min<std::size_t>(entry->second.machine.slots, all / 2);
-      const std::size_t share = std::max(kLeastShare, (all - for_batch) / gateways);
+      const std::size_t share = std::max(kMinConnectionShare, (all - for_batch) / gateways);
       return dispatcher && dispatcher->owns(backend) ? share + for_batch : share;
     }
   }
@@ -907,7 +907,7 @@
 
 std::set<BackendId> NodeCore::polled_backends() {
   ++poll_round_;
-  if (loads_pushed_ && dispatcher && coordinated() && environment.now() >= ask_all_until_) {
+  if (loads_pushed_ && dispatcher && coordinated() && environment.now() >= poll_all_until_) {
     const std::vector<BackendId> asked = dispatcher->worth_asking(poll_round_);
     return {asked.begin(), asked.end()};
   }
@@ -922,7 +922,7 @@
   return polled;
 }
 
-void NodeCore::tell_unexplained(const BackendId& id) {
+void NodeCore::report_unattributed_calls(const BackendId& id) {
   const routing::Backend* backend = registry.find(id);
   if (announcer && backend != nullptr && registry.unexplained(*backend) > 0) {
     announcer->changed(id);
@@ -931,7 +931,7 @@
 
 void NodeCore::poll_loads() {
   // Coordinators know all calls, so load reports are only needed to find calls that dead nodes have left running.
-  const Duration pause = coordinated() ? kPollsSavedByCoordination * load_poll_ : load_poll_;
+  const Duration pause = coordinated() ? kCoordinatedPollFactor * load_poll_ : load_poll_;
   environment.after(pause, lifetime_.guard([this] { poll_loads(); }));
   for (const BackendId& id : polled_backends()) {
     fetch_load(id);
@@ -943,7 +943,7 @@
   backends_.fetch_load(id, lifetime_.guard([this, id, asked_at](const std::optional<routing::LoadReport>& report) {
     if (report) {
       registry.on_report(id, *report, asked_at);
-      tell_unexplained(id);
+      report_unattributed_calls(id);
     }
   }));
 }
@@ -951,19 +951,19 @@
 // --- live activity, reported to the schedulers that dispatch to the same engines ------------
 
 void NodeCore::on_online_activity(const BackendId& engine, std::uint32_t in_flight) {
-  ToldActivity& entry = activity_[engine];
+  ReportedActivity& entry = activity_[engine];
   entry.in_flight = in_flight;
   on_calls_changed(engine);
   if (entry.scheduled || !guards_.tell_activity) {
     return;
   }
   entry.scheduled = true;
-  const Duration delay = in_flight > entry.told ? kActivityDelay : kActivityQuiet;
-  environment.after(delay, lifetime_.guard([this, engine] { tell_activity(engine); }));
+  const Duration delay = in_flight > entry.told ? kActivityIncreaseDelay : kActivityDecreaseDelay;
+  environment.after(delay, lifetime_.guard([this, engine] { report_activity(engine); }));
 }
 
-void NodeCore::tell_activity(const BackendId& engine) {
-  ToldActivity& entry = activity_[engine];
+void NodeCore::report_activity(const BackendId& engine) {
+  ReportedActivity& entry = activity_[engine];
   entry.scheduled = false;
   const routing::Backend* backend = registry.find(engine);
   const std::string zone = backend == nullptr ? std::string() : backend->machine.zone;
@@ -976,13 +976,13 @@
   message.engine = engine.str();
   message.gateway = members.self().id;
   message.in_flight = entry.in_flight;
-  message.number = word_numbers_.next();
+  message.number = report_numbers_.next();
   send_message(environment, PeerAddress(owner->peer_address), std::move(message));
 }
 
 /// Tells the other gateways that @p engine computes a prefill. Lost messages do no harm: a request may then only wait
 /// for the prefill to end.
-void NodeCore::tell_reading(const BackendId& engine, Duration expected) {
+void NodeCore::announce_prefill(const BackendId& engine, Duration expected) {
   if (coordinated()) {
     return;  // the coordinator that chose the engine knows about it
   }
@@ -999,7 +999,7 @@
 }
 
 void NodeCore::report_queues() {
-  environment.after(kQueueReports, lifetime_.guard([this] { report_queues(); }));
+  environment.after(kQueueReportInterval, lifetime_.guard([this] { report_queues(); }));
   const std::vector<wire::QueuedJobT> closed = jobs->take_closed();
   if (!queues->limited()) {
     return;
@@ -1011,7 +1011,7 @@
 }
 
 void NodeCore::refresh_activity() {
-  environment.after(kActivityRefresh, lifetime_.guard([this] { refresh_activity(); }));
+  environment.after(kActivityRefreshInterval, lifetime_.guard([this] { refresh_activity(); }));
   registry.set_gateways(gateway_count());
   warm_up_pace_.forget_old(environment.now());
   if (call_reporter && forwarder) {
@@ -1032,7 +1032,7 @@
       continue;
     }
     if (!entry->second.scheduled && guards_.tell_activity) {
-      tell_activity(entry->first);
+      report_activity(entry->first);
     }
     ++entry;
   }
--- a/src/node/node_core.hpp
+++ b/src/node/node_core.hpp
@@ -161,7 +161,7 @@
   /// @return whether the node of @p member is reachable and has the disk of @p member, as far as this node knows.
   bool is_there(const ledger::ReplicaIdentity& member) const;
   /// @return whether most of the members that were alive a short time ago are dead, as far as this node knows.
-  bool misses_most_of_fleet() const;
+  bool most_of_fleet_unreachable() const;
 
   Guards guards_;
   ledger::Storage* const storage_;  ///< Null on nodes without a disk.
@@ -213,7 +213,7 @@
   std::unique_ptr<object_store::stopping_handover> handover;
 
  private:
-  struct ToldActivity {
+  struct ReportedActivity {
     std::uint32_t in_flight = 0;
     std::uint32_t told = 0;
     bool scheduled = false;
@@ -221,20 +221,20 @@
   bool shares_calls_ = false;
   bool coordinates_ = false;
   std::shared_ptr<const policy::call_order> call_order_;
-  forwarding::RouteTablePointer told_routes_;
+  forwarding::RouteTablePointer reported_routes_;
   membership::Hooks make_hooks();
-  void tell_not_found(const membership::fleet_search& search);
+  void log_fleet_not_found(const membership::fleet_search& search);
   void on_objects_changed(const std::vector<config::EntryKey>& keys);
   void on_machines_changed(const std::vector<config::EntryKey>& keys);
   /// Exchanges the known group epochs between the replica and the ledger client of this node.
-  void match_replica_and_client();
+  void exchange_group_epochs();
   void on_evacuations_changed();
   /// @return whether this node may send a request to @p backend, which is warming up. If so, counts the request.
   bool allows_warming(const routing::Backend& backend);
   void on_calls_changed(const BackendId& engine);
   void on_online_activity(const BackendId& engine, std::uint32_t in_flight);
-  void tell_activity(const BackendId& engine);
-  void tell_reading(const BackendId& engine, Duration expected);
+  void report_activity(const BackendId& engine);
+  void announce_prefill(const BackendId& engine, Duration expected);
   void refresh_activity();
   void report_queues();
   std::vector<PeerAddress> other_gateways() const;
@@ -249,7 +249,7 @@
   bool coordinated() const { return places && places->active(); }
   void poll_loads();
   void fetch_load(const BackendId& id);
-  void tell_unexplained(const BackendId& id);
+  void report_unattributed_calls(const BackendId& id);
   void note_unknown_kind(const PeerAddress& sender, unsigned kind);
   /// @return the back ends whose load this node polls in this round.
   std::set<BackendId> polled_backends();
@@ -258,13 +258,13 @@
   void tell_configured();
   std::map<std::uint64_t, std::function<void(bool)>> awaiting_configuration_;
   std::uint64_t next_awaiting_ = 0;
-  std::map<BackendId, ToldActivity> activity_;
+  std::map<BackendId, ReportedActivity> activity_;
   Timestamp started_at_{};
   routing::warm_up_pace warm_up_pace_;
   std::uint64_t poll_round_ = 0;
-  Timestamp ask_all_until_{};  ///< Until then all back ends that this node owns are polled for their load.
-  word_numbers word_numbers_{environment};
-  std::optional<Timestamp> unknown_kind_said_at_;
+  Timestamp poll_all_until_{};  ///< Until then all back ends that this node owns are polled for their load.
+  word_numbers report_numbers_{environment};
+  std::optional<Timestamp> unknown_kind_logged_at_;
   Lifetime lifetime_;
 };
 
--- a/src/node/peer_memory.cpp
+++ b/src/node/peer_memory.cpp
@@ -41,7 +41,7 @@
     read();
   }
   if (first) {
-    environment_.after(kLook, lifetime_.guard([this] { look(); }));
+    environment_.after(kCheckInterval, lifetime_.guard([this] { look(); }));
   }
 }
 
@@ -72,8 +72,8 @@
 }
 
 void peer_memory::look() {
-  environment_.after(kLook, lifetime_.guard([this] { look(); }));
-  const bool rests = written_at_ && environment_.now() - *written_at_ < kLeastPause;
+  environment_.after(kCheckInterval, lifetime_.guard([this] { look(); }));
+  const bool rests = written_at_ && environment_.now() - *written_at_ < kMinWriteInterval;
   const bool changed = members_.version() != seen_version_ || !stored_;
   if (!read_ || rests || !changed) {
     return;
@@ -93,11 +93,11 @@
   storage_->put(kKey, encode(members_.remembered()));
   storage_->flush(lifetime_.guard([this](const Status& flushed) {
     stored_ = succeeded(flushed);
-    if (!stored_ && !was_told_) {
+    if (!stored_ && !failure_logged_) {
       log_.record("peers_not_stored",
                   {{"error", error_kind_name(error_of(flushed).kind)}, {"peers", members_.remembered().size()}});
     }
-    was_told_ = !stored_;
+    failure_logged_ = !stored_;
   }));
 }
 
--- a/src/node/peer_memory.hpp
+++ b/src/node/peer_memory.hpp
@@ -9,8 +9,8 @@
 
 namespace madderdeck::node {
 
-/// Reads the list of peers at the start and writes it when it has changed, at most once per kLeastPause. No other work
-/// waits for a write; if the disk refuses writes, the stored list only stays outdated. Single threaded.
+/// Reads the list of peers at the start and writes it when it has changed, at most once per kMinWriteInterval. No other
+/// work waits for a write; if the disk refuses writes, the stored list only stays outdated. Single threaded.
 class peer_memory {
  public:
   /// All arguments have to outlive this object.
@@ -21,8 +21,8 @@
   void keep_in(ledger::Storage& storage);
 
   static constexpr char kKey[] = "m/peers";  ///< Key of the record, a MemberSync.
-  static constexpr Duration kLook = 1s;
-  static constexpr Duration kLeastPause = 10s;
+  static constexpr Duration kCheckInterval = 1s;
+  static constexpr Duration kMinWriteInterval = 10s;
 
  private:
   void read();
@@ -36,8 +36,8 @@
   membership::Membership& members_;
   ledger::Storage* storage_ = nullptr;
   bool read_ = false;
-  bool stored_ = true;     ///< Whether the last write is known to have succeeded; true before the first write.
-  bool was_told_ = false;  ///< Whether the current failure to write has been logged.
+  bool stored_ = true;           ///< Whether the last write is known to have succeeded; true before the first write.
+  bool failure_logged_ = false;  ///< Whether the current failure to write has been logged.
   std::uint64_t seen_version_ = 0;
   std::optional<Timestamp> written_at_;
   Lifetime lifetime_;
--- a/tests/config/versioned_table_test.cpp
+++ b/tests/config/versioned_table_test.cpp
@@ -178,7 +178,7 @@
   const auto pulls = [](Node& node) { return node.environment.sent_of(wire::Message::TablePull); };
   const auto is_near = [](const PeerAddress& peer) { return peer == kSecond; };
   Node node;
-  node.replicator.prefer_near(is_near);
+  node.replicator.prefer_same_zone(is_near);
   SECTION("little") {
     node.replicator.on_peer_revision(kFirst, 20);
     CHECK(pulls(node) == 1);
--- a/tests/node/connection_share_test.cpp
+++ b/tests/node/connection_share_test.cpp
@@ -14,10 +14,10 @@
 constexpr std::uint32_t kSlots = 8;
 constexpr std::uint32_t kMostConnections = 530;  ///< Limit of an engine for the connections of all gateways.
 
-constexpr Duration kUntilOwned = 300ms;  ///< Minimum interval between assignments of the engines.
+constexpr Duration kAssignmentInterval = 300ms;  ///< Minimum interval between assignments of the engines.
 
 /// A platform store that never responds.
-class silent_store : public object_store::PlatformClient {
+class unresponsive_store : public object_store::PlatformClient {
  public:
   void watch_objects(std::uint64_t, Duration, object_store::ChangesDone) override {}
   void watch_machines(std::uint64_t, Duration, object_store::ChangesDone) override {}
@@ -58,7 +58,7 @@
     table.pools = {{"p", kMostConnections}};
     core.objects.apply_from_source(
         0, 1, {{{forwarding::kRouteTableKind, "main"}, forwarding::format_route_table(table), 1, false}}, true, 1ms);
-    environment.world.run_for(kUntilOwned);
+    environment.world.run_for(kAssignmentInterval);
   }
   static BackendId id(unsigned number) { return BackendId("engine-" + std::to_string(number)); }
   static node::NodeOptions options(unsigned self) {
@@ -71,7 +71,7 @@
   TestEnvironment environment;
   Counters counters;
   FakeBackends backends;
-  silent_store store;
+  unresponsive_store store;
   NoDecisionLog log;
   node::NodeCore core;
 };
--- a/tests/node/disk_watch_test.cpp
+++ b/tests/node/disk_watch_test.cpp
@@ -24,9 +24,9 @@
 constexpr auto kStuck = 30s;
 
 /// Collects the reports of a disk watch.
-class told_lines {
+class slow_operation_reports {
  public:
-  disk_watch::Tell tell() {
+  disk_watch::ReportHandler tell() {
     return [this](const slow_disk_operation& slow) {
       const std::lock_guard lock(mutex_);
       lines_.push_back(slow);
@@ -76,12 +76,12 @@
     return begun;
   }
   RocksDbStorage& storage() { return *storage_; }
-  told_lines& lines() { return lines_; }
+  slow_operation_reports& lines() { return lines_; }
 
  private:
   const tests::TemporaryDisk disk_;
   held_files files_;
-  told_lines lines_;
+  slow_operation_reports lines_;
   disk_watch watch_{lines_.tell()};
   std::unique_ptr<RocksDbStorage> storage_;
 };
--- a/tests/node/full_disk_start_test.cpp
+++ b/tests/node/full_disk_start_test.cpp
@@ -25,9 +25,9 @@
 std::string binaries() { return std::filesystem::read_symlink("/proc/self/exe").parent_path().string(); }
 
 /// A node process whose disk can be made to refuse writes.
-class node_beside_disk {
+class node_with_disk {
  public:
-  explicit node_beside_disk(std::string address) : address_(std::move(address)) {
+  explicit node_with_disk(std::string address) : address_(std::move(address)) {
     std::ofstream(path("settings.toml")) << "[node]\nid = \"n\"\nzone = \"z\"\nroles = [\"ledger\", \"controller\"]\n"
                                          << "peer_address = \"" << address_ << ":7000\"\napi_address = \"" << address_
                                          << ":8000\"\ndata_folder = \"" << path("data") << "\"\n\n[platform]\n"
@@ -37,7 +37,7 @@
     log_pipe_ = ::open(path("log").c_str(), O_RDWR | O_NONBLOCK | O_CLOEXEC);
     REQUIRE(log_pipe_ >= 0);
   }
-  ~node_beside_disk() { ::close(log_pipe_); }
+  ~node_with_disk() { ::close(log_pipe_); }
   void refuse(bool refused) const { REQUIRE(succeeded(bench::refuse_writes(process_.id(), refused))); }
   /// @param refused whether the disk refuses writes from the start of the process.
   void start(bool refused) {
@@ -50,7 +50,7 @@
   }
   void stop() { process_.kill(); }
   /// @return whether the node logs @p event within kStuck and before it terminates.
-  bool tells(const std::string& event) {
+  bool logs_event(const std::string& event) {
     const auto began = std::chrono::steady_clock::now();
     while (std::chrono::steady_clock::now() - began < kStuck) {
       read_log();
@@ -101,60 +101,60 @@
 }  // namespace
 
 TEST_CASE("a node that starts while its disk refuses writes stays up and uses the disk later") {
-  node_beside_disk node("127.98.6.1");
+  node_with_disk node("127.98.6.1");
   std::string identity;
   SECTION("a new disk") {}
   SECTION("a disk that was used before") {
     node.start(false);
-    REQUIRE(node.tells("node_started"));
+    REQUIRE(node.logs_event("node_started"));
     node.stop();
     identity = node.identity();
     REQUIRE_FALSE(identity.empty());
   }
   node.start(true);
-  CHECK(node.tells("node_started"));
-  CHECK(node.tells("disk_not_opened"));
+  CHECK(node.logs_event("node_started"));
+  CHECK(node.logs_event("disk_not_opened"));
   INFO(node.log());
   CHECK(node.runs());
   node.refuse(false);
-  CHECK(node.tells("disk_writes_regained"));
+  CHECK(node.logs_event("disk_writes_regained"));
   CHECK(node.runs());
   CHECK_FALSE(node.identity().empty());
   CHECK((identity.empty() || identity == node.identity()));
 }
 
 TEST_CASE("a node logs how it opened its disk, and why it terminates if the disk is damaged") {
-  node_beside_disk node("127.98.6.2");
+  node_with_disk node("127.98.6.2");
   node.start(false);
-  REQUIRE(node.tells("node_started"));
-  CHECK(node.tells("disk_opened"));
+  REQUIRE(node.logs_event("node_started"));
+  CHECK(node.logs_event("disk_opened"));
   CHECK(node.log().find("disk_opened") < node.log().find("node_started"));
   node.stop();
   node.damage_disk();
   node.start(false);
-  REQUIRE(node.tells("node_not_started"));
-  CHECK(node.tells("disk_damaged"));
+  REQUIRE(node.logs_event("node_not_started"));
+  CHECK(node.logs_event("disk_damaged"));
   CHECK(node.log().find("disk_damaged") < node.log().find("node_not_started"));
   CHECK(node.log().find("\"kind\":\"corrupted\"") != std::string::npos);
 }
 
 // Guards against a node that neither listens nor joins as long as its disk hangs at the start.
 TEST_CASE("a node that starts while its disk hangs joins and uses the disk later") {
-  node_beside_disk node("127.98.6.3");
+  node_with_disk node("127.98.6.3");
   node.start(false);
-  REQUIRE(node.tells("node_started"));
+  REQUIRE(node.logs_event("node_started"));
   node.stop();
   const std::string identity = node.identity();
   node.hang_disk();
   node.start(false);
-  CHECK(node.tells("node_started"));
-  CHECK(node.tells("disk_slow"));
+  CHECK(node.logs_event("node_started"));
+  CHECK(node.logs_event("disk_slow"));
   INFO(node.log());
   CHECK(node.log().find("disk_opened") == std::string::npos);
   CHECK(node.runs());
   node.answer_disk(identity);
-  CHECK(node.tells("disk_writes_regained"));
-  CHECK(node.tells("disk_opened"));
+  CHECK(node.logs_event("disk_writes_regained"));
+  CHECK(node.logs_event("disk_opened"));
   CHECK(node.log().find(identity) != std::string::npos);
   CHECK(node.runs());
 }
--- a/tests/node/leaving_back_ends_test.cpp
+++ b/tests/node/leaving_back_ends_test.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kNotice = 3s;
 constexpr std::uint64_t kListed = 10;  ///< Revision at which all engines are listed.
 constexpr char kPool[] = "m";
-constexpr unsigned kFedFleet = 40;  ///< Number of peers with which the node is not one of the store's readers.
+constexpr unsigned kLargeFleetPeers = 40;  ///< Number of peers with which the node is not one of the store's readers.
 
 config::EntryKey engine_key(unsigned number) { return {config::kMachineKind, "engine-" + std::to_string(number)}; }
 
@@ -88,7 +88,7 @@
 
 /// Some engines and one node, which is either alone or in a large fleet and relies on its peers' messages.
 struct fixture {
-  explicit fixture(unsigned engines, unsigned peers = kFedFleet)
+  explicit fixture(unsigned engines, unsigned peers = kLargeFleetPeers)
       : core({environment, counters, nullptr, backends, store, log}, options()) {
     core.start();
     auto sync = std::make_unique<wire::MemberSyncT>();
@@ -118,7 +118,7 @@
   }
 
   /// Handles a peer's delta in which the first @p count engines disappeared without notice.
-  void hear_gone(unsigned count, std::uint64_t revision) {
+  void receive_disappeared(unsigned count, std::uint64_t revision) {
     wire::TableDeltaT delta;
     delta.table = wire::TableId::Machines;
     delta.since = core.machines.table().revision();
@@ -135,7 +135,7 @@
   }
 
   /// Handles a peer's notice that the source has nothing later than @p revision, with an age of zero.
-  void hear_notice(std::uint64_t revision) {
+  void receive_notice(std::uint64_t revision) {
     wire::RevisionNoticeT notice;
     notice.table = wire::TableId::Machines;
     notice.revision = revision;
@@ -164,16 +164,16 @@
   SECTION("the whole pool disappears") {
     fixture fleet(3);
     fleet.run_for(300ms);
-    fleet.hear_gone(3, kListed + 1);  // the store dropped them up to 300 ms ago
+    fleet.receive_disappeared(3, kListed + 1);  // the store dropped them up to 300 ms ago
     fleet.run_for(kNotice);
     CHECK(fleet.usable() == 0);
   }
   SECTION("two sources report one deletion with different times") {
     fixture fleet(4);
     fleet.run_for(300ms);
-    fleet.hear_gone(3, kListed + 1);
+    fleet.receive_disappeared(3, kListed + 1);
     fleet.run_for(1500ms);
-    fleet.hear_gone(3, kListed + 2);
+    fleet.receive_disappeared(3, kListed + 2);
     fleet.run_for(kNotice - 1500ms);
     CHECK(fleet.usable() == 1);
   }
@@ -182,7 +182,7 @@
     fleet.store.gone = {{engine_key(1), "", kListed + 1, true}};
     fleet.store.revision = kListed + 1;
     for (Duration passed{}; passed < kNotice; passed += 100ms) {
-      fleet.hear_notice(kListed);
+      fleet.receive_notice(kListed);
       fleet.run_for(100ms);
     }
     CHECK(fleet.usable() == 3);
@@ -214,7 +214,7 @@
 TEST_CASE("a change that a peer reports first is dated by the watch that had not delivered it") {
   fixture fleet(3, 0);
   fleet.run_for(8s);  // the watch waits for 10 s, so the list was last confirmed long ago
-  fleet.hear_gone(3, kListed + 1);
+  fleet.receive_disappeared(3, kListed + 1);
   fleet.run_for(kNotice / 2);
   CHECK(fleet.usable() == 3);
   fleet.run_for(kNotice / 2);
@@ -250,7 +250,7 @@
 
 TEST_CASE("an engine whose entry disappeared only for a time is used again once it stays listed") {
   fixture fleet(4);
-  fleet.hear_gone(1, kListed + 1);
+  fleet.receive_disappeared(1, kListed + 1);
   CHECK(fleet.usable() == 3);
   fleet.run_for(100ms);
   const std::uint64_t revision = kListed + 2;
--- a/tests/node/peer_memory_test.cpp
+++ b/tests/node/peer_memory_test.cpp
@@ -43,8 +43,9 @@
 };
 
 /// A node that receives pings from peers.
-struct hearing_node {
-  hearing_node() : members(environment, counters, self(), {}, hooks()), memory(environment, counters, log, members) {}
+struct node_with_peers {
+  node_with_peers()
+      : members(environment, counters, self(), {}, hooks()), memory(environment, counters, log, members) {}
   static wire::MemberT member(unsigned number) {
     wire::MemberT member;
     member.id = "n" + std::to_string(number);
@@ -77,12 +78,12 @@
 
 TEST_CASE("a node reads the peers that it stored at its next start") {
   refusing_disk disk;
-  hearing_node before;
+  node_with_peers before;
   before.memory.keep_in(disk);
   before.hear(1);
   before.hear(2);
   before.environment.world.run_for(2s);
-  hearing_node after;
+  node_with_peers after;
   after.memory.keep_in(disk);
   CHECK(after.members.remembered() == before.members.remembered());
   CHECK(after.members.remembered().size() == 2);
@@ -90,7 +91,7 @@
 
 TEST_CASE("a change of members writes the list once, and changes in quick succession share a write") {
   refusing_disk disk;
-  hearing_node node;
+  node_with_peers node;
   node.memory.keep_in(disk);
   node.environment.world.run_for(60s);
   CHECK(disk.puts == 0);
@@ -106,13 +107,13 @@
 // Guards against replacing a list that could not be read by the few peers that a node knows right after its start.
 TEST_CASE("a disk that refuses reads at the start keeps its list, which is read when the disk is back") {
   refusing_disk disk;
-  hearing_node before;
+  node_with_peers before;
   before.memory.keep_in(disk);
   before.hear(1);
   before.environment.world.run_for(2s);
   disk.refuses = true;
   disk.puts = 0;
-  hearing_node after;
+  node_with_peers after;
   after.memory.keep_in(disk);
   after.hear(2);
   after.environment.world.run_for(60s);
@@ -127,7 +128,7 @@
 
 TEST_CASE("a list that the disk refused is written when the disk accepts writes again") {
   refusing_disk disk;
-  hearing_node node;
+  node_with_peers node;
   node.memory.keep_in(disk);
   disk.refuses = true;
   node.hear(1);
--- a/tests/node/start_signals_test.cpp
+++ b/tests/node/start_signals_test.cpp
@@ -29,11 +29,11 @@
 using milliseconds = std::chrono::milliseconds;
 using steady = std::chrono::steady_clock;
 
-constexpr milliseconds kLatest{50};     ///< Latest time after exec at which a signal is sent.
-constexpr milliseconds kStuck{30'000};  ///< A start that takes longer counts as stuck.
-constexpr unsigned kAtOnce = 3;         ///< Number of processes that start in parallel.
+constexpr milliseconds kLatestSignal{50};  ///< Latest time after exec at which a signal is sent.
+constexpr milliseconds kStuck{30'000};     ///< A start that takes longer counts as stuck.
+constexpr unsigned kParallelStarts = 3;    ///< Number of processes that start in parallel.
 /// Maximum processor time of the kernel and the dynamic linker before the program's first code runs.
-constexpr milliseconds kLoading{40};
+constexpr milliseconds kMaxLoadingTime{40};
 
 std::filesystem::path binaries() { return std::filesystem::read_symlink("/proc/self/exe").parent_path(); }
 
@@ -54,10 +54,10 @@
 
 /// State of a process according to /proc.
 struct process_view {
-  std::uint64_t kept_off = 0;  ///< Signals that are blocked, ignored or handled: bit n - 1 is signal n.
+  std::uint64_t blocked_or_handled = 0;  ///< Signals that are blocked, ignored or handled: bit n - 1 is signal n.
   std::chrono::nanoseconds used{};
   bool loaded = false;  ///< Whether the dynamic linker has finished.
-  bool keeps_off(int number) const { return ((kept_off >> (number - 1)) & 1U) != 0; }
+  bool blocks_or_handles(int number) const { return ((blocked_or_handled >> (number - 1)) & 1U) != 0; }
 };
 
 /// @return whether the dynamic linker has finished: its last step makes a part of the program's data read-only, which
@@ -72,14 +72,14 @@
   return read_only >= kReadOnlyMappings;
 }
 
-process_view look_at(pid_t id, const std::string& program) {
+process_view read_process_view(pid_t id, const std::string& program) {
   process_view view;
   const std::string folder = "/proc/" + std::to_string(id);
   view.loaded = is_loaded(folder + "/maps", program);
   std::ifstream status(folder + "/status");
   for (std::string line; std::getline(status, line);) {
     if (line.starts_with("SigBlk:") || line.starts_with("SigIgn:") || line.starts_with("SigCgt:")) {
-      view.kept_off |= std::stoull(line.substr(sizeof "SigBlk:" - 1), nullptr, 16);
+      view.blocked_or_handled |= std::stoull(line.substr(sizeof "SigBlk:" - 1), nullptr, 16);
     }
   }
   std::uint64_t used_ns = 0;
@@ -151,8 +151,8 @@
     }
     const auto began = steady::now();
     while (steady::now() - began < kStuck && !process.poll_ended()) {
-      const process_view view = look_at(process.id(), program_);
-      if (std::all_of(numbers.begin(), numbers.end(), [&view](int number) { return view.keeps_off(number); })) {
+      const process_view view = read_process_view(process.id(), program_);
+      if (std::all_of(numbers.begin(), numbers.end(), [&view](int number) { return view.blocks_or_handles(number); })) {
         return view.used;
       }
       if (log_has(place, "node_started")) {
@@ -169,12 +169,12 @@
   bool await_first_lines(pid_t id, int number) const {
     constexpr milliseconds kFirstLines{1};  ///< In processor time.
     constexpr milliseconds kAsleep{1'000};  ///< After this time the process sleeps rather than waits for a processor.
-    const process_view first = look_at(id, program_);
+    const process_view first = read_process_view(id, program_);
     const auto began = steady::now();
     process_view now = first;
-    while (first.loaded && !now.keeps_off(number) && now.used - first.used < kFirstLines &&
+    while (first.loaded && !now.blocks_or_handles(number) && now.used - first.used < kFirstLines &&
            steady::now() - began < kAsleep) {
-      now = look_at(id, program_);
+      now = read_process_view(id, program_);
     }
     return first.loaded;
   }
@@ -205,9 +205,9 @@
   std::vector<std::string> wrong;
   std::mutex mutex;
   std::vector<std::thread> lanes;
-  for (unsigned lane = 0; lane < kAtOnce; ++lane) {
+  for (unsigned lane = 0; lane < kParallelStarts; ++lane) {
     lanes.emplace_back([&, lane] {
-      for (std::size_t next = lane; next < signals.size(); next += kAtOnce) {
+      for (std::size_t next = lane; next < signals.size(); next += kParallelStarts) {
         const outcome seen = player.play(lane, signals[next], awaited_line);
         if (!right(signals[next], seen)) {
           const std::lock_guard lock(mutex);
@@ -225,11 +225,11 @@
   return wrong;
 }
 
-/// @return each of @p numbers at each @p step from exec to kLatest.
-std::vector<sent_signal> at_each_moment(const std::vector<int>& numbers, milliseconds step) {
+/// @return each of @p numbers at each @p step from exec to kLatestSignal.
+std::vector<sent_signal> signals_during_start(const std::vector<int>& numbers, milliseconds step) {
   std::vector<sent_signal> signals;
   for (const int number : numbers) {
-    for (milliseconds after{0}; after <= kLatest; after += step) {
+    for (milliseconds after{0}; after <= kLatestSignal; after += step) {
       signals.push_back({number, after});
     }
   }
@@ -245,17 +245,17 @@
 }
 
 /// @return the exit code that bench::Process reports for a process that signal @p number terminated.
-int ended_by(int number) { return -number; }
+int exit_code_of_signal(int number) { return -number; }
 
-bool goes_on(const sent_signal& sent, const outcome& seen) {
-  const bool met_no_line = seen.loading && seen.exit_code == ended_by(sent.number);
-  return !seen.stuck && (!seen.ended || met_no_line);
+bool keeps_running(const sent_signal& sent, const outcome& seen) {
+  const bool before_own_code = seen.loading && seen.exit_code == exit_code_of_signal(sent.number);
+  return !seen.stuck && (!seen.ended || before_own_code);
 }
 
 /// @return whether the process terminated by the signal; after TERM and INT a regular exit is also correct.
 bool has_ended(const sent_signal& sent, const outcome& seen) {
   const bool asked = sent.number == SIGTERM || sent.number == SIGINT;
-  return seen.ended && (seen.exit_code == ended_by(sent.number) || (asked && seen.exit_code == 0));
+  return seen.ended && (seen.exit_code == exit_code_of_signal(sent.number) || (asked && seen.exit_code == 0));
 }
 
 std::string joined(const std::vector<std::string>& lines) {
@@ -274,11 +274,11 @@
 }  // namespace
 
 TEST_CASE("a reload signal at any millisecond of a start reloads the settings") {
-  const std::vector<sent_signal> reloads = at_each_moment({SIGHUP}, 1ms);
+  const std::vector<sent_signal> reloads = signals_during_start({SIGHUP}, 1ms);
   const start_player deployed(kDeployedProgram, "127.98.1", kWithDisk);
   const start_player own(kProgram, "127.98.2", kWithoutDisk);
-  const auto wrong_deployed = play_all(deployed, reloads, "settings_reloaded", goes_on);
-  const auto wrong_own = play_all(own, reloads, "settings_reloaded", goes_on);
+  const auto wrong_deployed = play_all(deployed, reloads, "settings_reloaded", keeps_running);
+  const auto wrong_own = play_all(own, reloads, "settings_reloaded", keeps_running);
   INFO(joined(wrong_deployed));
   CHECK(wrong_deployed.empty());
   INFO(joined(wrong_own));
@@ -287,7 +287,7 @@
 
 TEST_CASE("a starting node is terminated by no signals but those meant to terminate it") {
   const start_player deployed(kDeployedProgram, "127.98.3", kWithoutDisk);
-  const auto wrong = play_all(deployed, at_each_moment(harmless_signals(), 1ms), "node_started", goes_on);
+  const auto wrong = play_all(deployed, signals_during_start(harmless_signals(), 1ms), "node_started", keeps_running);
   INFO(joined(wrong));
   CHECK(wrong.empty());
 }
@@ -297,7 +297,7 @@
   const rlimit no_core{0, 0};
   ::setrlimit(RLIMIT_CORE, &no_core);
   const std::vector<int> deadly{SIGTERM, SIGINT, SIGKILL, SIGSEGV, SIGABRT, SIGBUS, SIGFPE, SIGILL, SIGSYS, SIGTRAP};
-  const auto wrong = play_all(deployed, at_each_moment(deadly, 10ms), "", has_ended);
+  const auto wrong = play_all(deployed, signals_during_start(deadly, 10ms), "", has_ended);
   INFO(joined(wrong));
   CHECK(wrong.empty());
 }
@@ -314,6 +314,6 @@
     std::sort(taken.begin(), taken.end());
     INFO(program << ", microseconds of processor time: min " << taken.front() / 1us << ", median "
                  << taken[taken.size() / 2] / 1us << ", max " << taken.back() / 1us);
-    CHECK(taken.back() < kLoading);
+    CHECK(taken.back() < kMaxLoadingTime);
   }
 }
