--- a/src/config/versioned_table.cpp
+++ b/src/config/versioned_table.cpp
@@ -16,7 +16,7 @@
     1'000;  ///< In revisions: more than a burst of changes, less than a full table.
 /// Peers of a zone probe each other about once a second. If none of them has the table, at most twice this time is
 /// lost.
-constexpr Duration kSameZoneWait = 1500ms;
+constexpr Duration kNearPeerWait = 1500ms;
 constexpr Duration kPullTimeout = 250ms;
 /// Round trip of a datagram. A later reply comes from a busy peer, so the age in it is too uncertain.
 constexpr Duration kAgeReplyTimeout = 250ms;
@@ -173,7 +173,7 @@
       claimed_revision_ = revision;
       claimant_ = peer;
     }
-    if (!pulling_from_ && !waits_for_same_zone(peer)) {
+    if (!pulling_from_ && !waits_for_near(peer)) {
       pull(peer);
     }
     return;
@@ -193,19 +193,19 @@
 
 bool TableReplicator::is_far_behind() const { return claimed_revision_ > table_.revision() + kFarBehindRevisions; }
 
-bool TableReplicator::waits_for_same_zone(const PeerAddress& peer) {
-  if (!is_same_zone_ || !is_far_behind() || is_same_zone_(peer)) {
-    same_zone_wait_until_.reset();
+bool TableReplicator::waits_for_near(const PeerAddress& peer) {
+  if (!is_near_ || !is_far_behind() || is_near_(peer)) {
+    near_awaited_until_.reset();
     return false;
   }
   const Timestamp now = environment_.now();
-  if (!same_zone_wait_until_) {
+  if (!near_awaited_until_) {
     // The random part staggers the nodes of a zone, so that the first ones to stop waiting pull the table for the
     // others.
-    const auto extra = static_cast<Duration::rep>(environment_.random() % kSameZoneWait.count());
-    same_zone_wait_until_ = now + kSameZoneWait + Duration(extra);
+    const auto extra = static_cast<Duration::rep>(environment_.random() % kNearPeerWait.count());
+    near_awaited_until_ = now + kNearPeerWait + Duration(extra);
   }
-  return now < *same_zone_wait_until_;
+  return now < *near_awaited_until_;
 }
 
 void TableReplicator::request_age(const PeerAddress& peer) {
@@ -315,8 +315,7 @@
     return;
   }
   if (table_.revision() > before || sender != claimant_) {
-    const bool continues_with_sender =
-        table_.revision() > before && is_far_behind() && is_same_zone_ && is_same_zone_(sender);
+    const bool continues_with_sender = table_.revision() > before && is_far_behind() && is_near_ && is_near_(sender);
     pull(continues_with_sender ? sender : claimant_);
   } else {
     claimed_revision_ = 0;  // the claimant does not hold the claimed revision; immediate retries would never end
--- a/src/config/versioned_table.hpp
+++ b/src/config/versioned_table.hpp
@@ -89,8 +89,8 @@
   void on_peer_revision(const PeerAddress& peer, std::uint64_t revision, std::uint32_t age_ms = kUnknownAge);
   /// Makes a node that is far behind prefer to pull from peers in its zone: a table of 10,000 back ends is 2 MB, and
   /// all nodes of a starting fleet pull it.
-  /// @param is_near returns whether a peer is in this node's zone.
-  void prefer_same_zone(std::function<bool(const PeerAddress&)> is_near) { is_same_zone_ = std::move(is_near); }
+  /// @param is_near returns whether a peer is in this node's zone; in small fleets all peers may count as near.
+  void prefer_near(std::function<bool(const PeerAddress&)> is_near) { is_near_ = std::move(is_near); }
   /// @return whether a pull from a peer is waiting for its reply.
   bool pulls() const { return pulling_from_.has_value(); }
   /// Sends the table's revision and age to @p peers.
@@ -117,7 +117,7 @@
   void announce();
   void pull(const PeerAddress& peer);
   /// @return whether to ignore the claim of @p peer for now, as a peer in this zone may soon hold the same revision.
-  bool waits_for_same_zone(const PeerAddress& peer);
+  bool waits_for_near(const PeerAddress& peer);
   bool is_far_behind() const;
   void request_age(const PeerAddress& peer);
   /// Updates as_of(): the source had no revision later than the table's @p age_ms before @p asked_at.
@@ -132,9 +132,9 @@
   Timestamp as_of_{};
   Timestamp watched_until_{};
   Timestamp unchanged_until_{};
-  std::function<bool(const PeerAddress&)> is_same_zone_;  ///< May be empty.
+  std::function<bool(const PeerAddress&)> is_near_;  ///< May be empty.
   std::optional<Timestamp>
-      same_zone_wait_until_;  ///< Set while this node is far behind and only peers of other zones claim more.
+      near_awaited_until_;  ///< Set while this node is far behind and only peers of other zones claim more.
   std::optional<PeerAddress> pulling_from_;
   Timestamp pulled_at_{};
   std::uint64_t claimed_revision_ = 0;  ///< Latest revision that a peer claims to hold.
--- a/src/node/daemon.cpp
+++ b/src/node/daemon.cpp
@@ -433,7 +433,7 @@
   Timestamp drain_deadline_{};
   Timestamp disk_refused_at_{};
   Timestamp disk_opening_since_{};
-  Status failure_ = Ok{};  ///< Why the node stopped without being told to; Ok after a planned stop.
+  Status failure_ = Ok{};  ///< Why the node stopped on its own; Ok after a planned stop.
   bool fleet_known_ = false;
   bool was_ready_ = false;
 };
--- a/src/node/disk_watch.cpp
+++ b/src/node/disk_watch.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-disk_watch::disk_watch(ReportHandler tell) : report_(std::move(tell)), thread_([this] { watch(); }) {}
+disk_watch::disk_watch(ReportHandler report) : report_(std::move(report)), thread_([this] { watch(); }) {}
 
 disk_watch::~disk_watch() {
   {
@@ -59,11 +59,11 @@
   std::unique_lock lock(mutex_);
   while (!ends_) {
     changed_.wait_for(lock, kCheckInterval, [this] { return ends_; });
-    look(lock);
+    check_operations(lock);
   }
 }
 
-void disk_watch::look(std::unique_lock<std::mutex>& lock) {
+void disk_watch::check_operations(std::unique_lock<std::mutex>& lock) {
   const auto now = clock::now();
   std::vector<slow_disk_operation> found;
   for (std::size_t number = 0; number < kinds_.size(); ++number) {
--- a/src/node/disk_watch.hpp
+++ b/src/node/disk_watch.hpp
@@ -31,8 +31,8 @@
   static constexpr std::chrono::milliseconds kSlowAfter{1000};
   static constexpr std::chrono::milliseconds kMaxReportInterval{60'000};
 
-  /// @param tell called with each slow operation, on any thread.
-  explicit disk_watch(ReportHandler tell);
+  /// @param report called with each slow operation, on any thread.
+  explicit disk_watch(ReportHandler report);
   ~disk_watch() override;
   disk_watch(const disk_watch&) = delete;
   disk_watch& operator=(const disk_watch&) = delete;
@@ -49,7 +49,7 @@
   };
   Kind& kind_of(ledger::disk_operation operation) { return kinds_.at(static_cast<std::size_t>(operation)); }
   void watch();
-  void look(std::unique_lock<std::mutex>& lock);
+  void check_operations(std::unique_lock<std::mutex>& lock);
 
   const ReportHandler report_;
   std::mutex mutex_;
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -88,7 +88,7 @@
     forwarder->allow_warming([this](const routing::Backend& backend) { return allows_warming(backend); });
     forwarder->on_reading([this](const BackendId& engine, Duration expected) { announce_prefill(engine, expected); });
   }
-  machines.prefer_same_zone(
+  machines.prefer_near(
       [this](const PeerAddress& peer) { return members.live_count() <= kSmallFleetNodes || members.is_near(peer); });
   registry.set_leave_notice(options.leave_notice);
   registry.use_list_age([this] { return environment.now() - machines.as_of(); });
--- a/src/node/peer_memory.cpp
+++ b/src/node/peer_memory.cpp
@@ -41,7 +41,7 @@
     read();
   }
   if (first) {
-    environment_.after(kCheckInterval, lifetime_.guard([this] { look(); }));
+    environment_.after(kCheckInterval, lifetime_.guard([this] { write_if_changed(); }));
   }
 }
 
@@ -71,8 +71,8 @@
   log_.record("peers_not_read", {{"error", error_kind_name(error.kind)}, {"detail", error.detail}});
 }
 
-void peer_memory::look() {
-  environment_.after(kCheckInterval, lifetime_.guard([this] { look(); }));
+void peer_memory::write_if_changed() {
+  environment_.after(kCheckInterval, lifetime_.guard([this] { write_if_changed(); }));
   const bool rests = written_at_ && environment_.now() - *written_at_ < kMinWriteInterval;
   const bool changed = members_.version() != seen_version_ || !stored_;
   if (!read_ || rests || !changed) {
--- a/src/node/peer_memory.hpp
+++ b/src/node/peer_memory.hpp
@@ -26,7 +26,7 @@
 
  private:
   void read();
-  void look();
+  void write_if_changed();
   void write();
   void note_unread(const Error& error);
 
--- a/tests/config/versioned_table_test.cpp
+++ b/tests/config/versioned_table_test.cpp
@@ -141,8 +141,8 @@
   CHECK(told_for(0) == R"({"target":"model","pool":"lm","state":"live"})");
 }
 
-// Guards against small deltas that are all announced. In a starting fleet of 10,000 back ends, each node pulled 417
-// deltas of 24 entries and announced each to three peers: 1,251 announcements, of which only the last were useful.
+// Guards against many small deltas that are each announced. In a starting fleet of 10,000 back ends, each node pulled
+// 417 deltas of 24 entries and announced each to three peers: 1,251 announcements, of which only the last were useful.
 TEST_CASE("a node that starts learns of 10,000 back ends in few exchanges, and tells its peers of the last") {
   constexpr std::uint64_t kBackEnds = 10'000;
   constexpr std::size_t kMostExchanges = 40;
@@ -178,7 +178,7 @@
   const auto pulls = [](Node& node) { return node.environment.sent_of(wire::Message::TablePull); };
   const auto is_near = [](const PeerAddress& peer) { return peer == kSecond; };
   Node node;
-  node.replicator.prefer_same_zone(is_near);
+  node.replicator.prefer_near(is_near);
   SECTION("little") {
     node.replicator.on_peer_revision(kFirst, 20);
     CHECK(pulls(node) == 1);
