--- a/src/config/versioned_table.cpp
+++ b/src/config/versioned_table.cpp
@@ -7,24 +7,26 @@
 
 namespace madderdeck::config {
 namespace {
-/// Entries of back ends take some 200 bytes: a node that starts in a fleet of 10,000 has them after 40 exchanges. On a
-/// link of 30 Mbit/s a delta takes 17 ms.
-constexpr std::size_t kBytesPerDelta = 64 * 1024;
-constexpr std::size_t kMostEntriesPerDelta = 512;
+/// A back end's entry has about 200 bytes, so a node that starts in a fleet of 10,000 back ends has all entries after
+/// 40 exchanges. On a link of 30 Mbit/s a delta takes 17 ms.
+constexpr std::size_t kMaxBytesPerDelta = 64 * 1024;
+constexpr std::size_t kMaxEntriesPerDelta = 512;
 constexpr std::size_t kAnnounceFanout = 3;
-constexpr std::uint64_t kFarBehind = 1'000;  ///< Revisions: more than a storm of changes, less than a whole table.
-/// Peers of this zone probe each other about once a second; twice that at most is lost where none of them has the
-/// table.
-constexpr Duration kNearPatience = 1500ms;
+constexpr std::uint64_t kFarBehindRevisions =
+    1'000;  ///< In revisions: more than a burst of changes, less than a full table.
+/// Peers of a zone probe each other about once a second. If none of them has the table, at most twice this time is
+/// lost.
+constexpr Duration kNearPeerWait = 1500ms;
 constexpr Duration kPullTimeout = 250ms;
-/// A datagram and its answer; later ones have met a busy peer and say little.
-constexpr Duration kAnswerWait = 250ms;
-/// Word that is fresher by less is not worth a question.
-constexpr Duration kWorthAsking = 300ms;
+/// Round trip of a datagram. A later reply comes from a busy peer, so the age in it is too uncertain.
+constexpr Duration kAgeReplyTimeout = 250ms;
+/// A peer is asked for its age only if its claim is fresher than as_of() by at least this.
+constexpr Duration kMinAgeImprovement = 300ms;
 
-/// A pull without a number is of a version whose nodes refuse a back end's entry with a field that they do not know,
-/// and take the back end for gone: a node of that version that started beside newer ones had no back end left, and
-/// refused every request. The field came with the numbers.
+/// Removes the fields that nodes of an earlier version do not know. Such nodes send pulls without a number, reject a
+/// back end's entry that has an unknown field and treat the back end as removed: a node of that version that started
+/// beside newer ones had no back end left and refused every request. Pull numbers and the first of these fields were
+/// added in the same version.
 std::string body_for_earlier_version(const Entry& change) {
   if (change.key.kind != kMachineKind) {
     return change.body;
@@ -97,12 +99,12 @@
 std::vector<EntryKey> VersionedTable::apply(std::uint64_t since, std::uint64_t up_to, const std::vector<Entry>& changes,
                                             bool complete) {
   std::vector<EntryKey> changed;
-  if (reject_older && (since > revision_ || up_to <= revision_)) {
+  if (reject_older_entries && (since > revision_ || up_to <= revision_)) {
     return changed;
   }
   for (const Entry& change : changes) {
     const auto held = entries_.find(change.key);
-    if (reject_older && held != entries_.end() && held->second.revision >= change.revision) {
+    if (reject_older_entries && held != entries_.end() && held->second.revision >= change.revision) {
       continue;
     }
     hold(change);
@@ -128,7 +130,7 @@
   if (take(since, up_to, changes, complete)) {
     announce();
   }
-  // An answer that was overtaken says nothing of what is held now, unless it reaches as far.
+  // A reply that was overtaken by later changes does not confirm the current state, unless it covers its revision.
   if (up_to >= table_.revision()) {
     as_of_ = std::max(as_of_, as_of);
   }
@@ -167,8 +169,8 @@
 
 void TableReplicator::on_peer_revision(const PeerAddress& peer, std::uint64_t revision, std::uint32_t age_ms) {
   if (revision > table_.revision()) {
-    if (revision > wanted_) {
-      wanted_ = revision;
+    if (revision > claimed_revision_) {
+      claimed_revision_ = revision;
       claimant_ = peer;
     }
     if (!pulling_from_ && !waits_for_near(peer)) {
@@ -176,20 +178,20 @@
     }
     return;
   }
-  // What was all at the peer's time is held here, too.
+  // This node holds everything that the source had at the time that the peer's claim names.
   const bool known = age_ms != kUnknownAge;
   const Timestamp claimed = known ? environment_.now() - std::chrono::milliseconds(age_ms) : Timestamp{};
-  if (!known || claimed < as_of_ + kWorthAsking) {
+  if (!known || claimed < as_of_ + kMinAgeImprovement) {
     return;
   }
   if (!ask_for_age) {
     as_of_ = claimed;
-  } else if (!asked_at_ || environment_.now() - *asked_at_ > kAnswerWait) {
-    ask_age(peer);
+  } else if (!age_requested_at_ || environment_.now() - *age_requested_at_ > kAgeReplyTimeout) {
+    request_age(peer);
   }
 }
 
-bool TableReplicator::is_far_behind() const { return wanted_ > table_.revision() + kFarBehind; }
+bool TableReplicator::is_far_behind() const { return claimed_revision_ > table_.revision() + kFarBehindRevisions; }
 
 bool TableReplicator::waits_for_near(const PeerAddress& peer) {
   if (!is_near_ || !is_far_behind() || is_near_(peer)) {
@@ -198,19 +200,20 @@
   }
   const Timestamp now = environment_.now();
   if (!near_awaited_until_) {
-    // Nodes of a zone give up after each other, so that the first ones have something for the others.
-    const auto extra = static_cast<Duration::rep>(environment_.random() % kNearPatience.count());
-    near_awaited_until_ = now + kNearPatience + Duration(extra);
+    // The random part staggers the nodes of a zone, so that the first ones to stop waiting pull the table for the
+    // others.
+    const auto extra = static_cast<Duration::rep>(environment_.random() % kNearPeerWait.count());
+    near_awaited_until_ = now + kNearPeerWait + Duration(extra);
   }
   return now < *near_awaited_until_;
 }
 
-void TableReplicator::ask_age(const PeerAddress& peer) {
-  asked_at_ = environment_.now();
+void TableReplicator::request_age(const PeerAddress& peer) {
+  age_requested_at_ = environment_.now();
   counters_["table_age_questions_total"]++;
   wire::RevisionQuestionT question;
   question.table = id_;
-  question.number = ++question_;
+  question.number = ++age_request_number_;
   send_message(environment_, peer, std::move(question));
 }
 
@@ -230,12 +233,12 @@
 }
 
 void TableReplicator::handle(const wire::RevisionAnswerT& message) {
-  if (!asked_at_ || message.number != question_) {
+  if (!age_requested_at_ || message.number != age_request_number_) {
     counters_["table_age_answers_stale_total"]++;
     return;
   }
-  const Timestamp asked_at = *asked_at_;
-  asked_at_.reset();
+  const Timestamp asked_at = *age_requested_at_;
+  age_requested_at_.reset();
   if (message.revision <= table_.revision()) {
     confirm(asked_at, message.age_ms);
   }
@@ -254,10 +257,10 @@
     if (number != pull_number_) {
       return;
     }
-    // Not answered. The next claim, with a peer's next probe, starts another pull.
+    // No reply. The next claim, which comes with a peer's next probe, starts another pull.
     counters_["table_pull_timeouts_total"]++;
     pulling_from_.reset();
-    wanted_ = 0;
+    claimed_revision_ = 0;
   }));
 }
 
@@ -269,9 +272,9 @@
   delta.up_to = table_.revision();
   delta.age_ms = age_ms();
   std::size_t bytes = 0;
-  const auto changes = table_.changes_after(message.since, kMostEntriesPerDelta + 1);
+  const auto changes = table_.changes_after(message.since, kMaxEntriesPerDelta + 1);
   for (const Entry* change : changes) {
-    const bool full = delta.entries.size() >= kMostEntriesPerDelta || bytes > kBytesPerDelta;
+    const bool full = delta.entries.size() >= kMaxEntriesPerDelta || bytes > kMaxBytesPerDelta;
     if (full && delta.entries.back()->revision != change->revision) {
       delta.up_to = delta.entries.back()->revision;
       delta.age_ms = kUnknownAge;
@@ -296,8 +299,8 @@
   }
   const std::uint64_t before = table_.revision();
   const bool news = take(message.since, message.up_to, changes, false);
-  // What is known to be behind is not worth telling: the next delta follows at once.
-  if (news && table_.revision() >= wanted_) {
+  // A revision that is known to be behind is not announced, as the next delta follows immediately.
+  if (news && table_.revision() >= claimed_revision_) {
     announce();
   }
   if (!pulling_from_ || *pulling_from_ != sender) {
@@ -308,14 +311,14 @@
   }
   ++pull_number_;
   pulling_from_.reset();
-  if (wanted_ <= table_.revision()) {
+  if (claimed_revision_ <= table_.revision()) {
     return;
   }
   if (table_.revision() > before || sender != claimant_) {
-    const bool goes_on = table_.revision() > before && is_far_behind() && is_near_ && is_near_(sender);
-    pull(goes_on ? sender : claimant_);
+    const bool continues_with_sender = table_.revision() > before && is_far_behind() && is_near_ && is_near_(sender);
+    pull(continues_with_sender ? sender : claimant_);
   } else {
-    wanted_ = 0;  // the claimant does not hold what it claimed; asking again at once would not end
+    claimed_revision_ = 0;  // the claimant does not hold the claimed revision; immediate retries would never end
   }
 }
 
--- a/src/node/disk_watch.hpp
+++ b/src/node/disk_watch.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Tells of operations of the disk that last for long, while they last.
+/// @file Reports slow disk operations, also while they are still running.
 
 #include <array>
 #include <chrono>
@@ -12,26 +12,27 @@
 
 namespace madderdeck::node {
 
-/// An operation of the disk that has been under way for long.
+/// A disk operation that takes at least disk_watch::kSlowAfter.
 struct slow_disk_operation {
   ledger::disk_operation operation = ledger::disk_operation::open;
-  std::chrono::milliseconds lasts{};  ///< So far, or in all where it has ended.
-  std::size_t callers_waiting = 0;    ///< For a sync.
+  std::chrono::milliseconds lasts{};  ///< Duration so far; total duration if the operation has ended.
+  std::size_t callers_waiting = 0;    ///< Callers that wait for a sync.
   bool has_ended = false;
 };
 
-/// Looks from a thread of its own, since the node's may be the one that waits for the disk.
+/// Checks the running operations on a separate thread, since the node's thread may be waiting for the disk.
 class disk_watch : public ledger::disk_observer {
  public:
   using clock = std::chrono::steady_clock;
-  using Tell = std::function<void(const slow_disk_operation&)>;
+  using ReportHandler = std::function<void(const slow_disk_operation&)>;
 
-  /// An operation is told of after this long, then after twice as long, and so on, and when it has ended.
+  /// An operation is first reported after this time, then each time its duration has doubled (but at least every
+  /// kMaxReportInterval), and when it has ended.
   static constexpr std::chrono::milliseconds kSlowAfter{1000};
-  static constexpr std::chrono::milliseconds kMostBetweenTellings{60'000};
+  static constexpr std::chrono::milliseconds kMaxReportInterval{60'000};
 
-  /// @param tell called on any thread.
-  explicit disk_watch(Tell tell);
+  /// @param report called with each slow operation, on any thread.
+  explicit disk_watch(ReportHandler report);
   ~disk_watch() override;
   disk_watch(const disk_watch&) = delete;
   disk_watch& operator=(const disk_watch&) = delete;
@@ -44,13 +45,13 @@
   struct Kind {
     unsigned depth = 0;
     clock::time_point began{};
-    clock::duration told_next{};
+    clock::duration next_report_after{};
   };
   Kind& kind_of(ledger::disk_operation operation) { return kinds_.at(static_cast<std::size_t>(operation)); }
   void watch();
-  void look(std::unique_lock<std::mutex>& lock);
+  void check_operations(std::unique_lock<std::mutex>& lock);
 
-  const Tell tell_;
+  const ReportHandler report_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::array<Kind, ledger::kDiskOperations> kinds_;
--- a/src/node/held_signals.cpp
+++ b/src/node/held_signals.cpp
@@ -1,4 +1,5 @@
-/// @file Linked into the programs of a node themselves, not into a library: runs before all other code of the process.
+/// @file Blocks or ignores signals before any other code of the process runs. This file is linked directly into the
+/// node programs, not into a library.
 
 #include "node/held_signals.hpp"
 
@@ -6,9 +7,9 @@
 
 namespace {
 
-/// Left as they are: what asks for the end, what means a crash, and what the kernel's default does not end a process
-/// by.
-bool is_left(int number) {
+/// @return whether the signal keeps its disposition: signals that request termination, signals of a crash, and signals
+/// that do not terminate a process by default.
+bool keeps_disposition(int number) {
   for (const int left : {SIGTERM, SIGINT, SIGKILL, SIGSEGV, SIGABRT, SIGBUS, SIGFPE, SIGILL, SIGSYS, SIGTRAP, SIGSTOP,
                          SIGTSTP, SIGTTIN, SIGTTOU, SIGCONT, SIGCHLD, SIGURG, SIGWINCH}) {
     if (number == left) {
@@ -18,9 +19,10 @@
   return false;
 }
 
-/// The default of all others ends the process. The C library keeps two numbered ones for itself and refuses them here.
-void hold_signals(int, char**, char**) {
-  // Threads that are started later block it, too, so that it waits for the one that releases it.
+/// Blocks the reload signal and ignores all other signals that would terminate the process by default. The C library
+/// reserves two real-time signals, for which sigaction() fails here.
+void block_reload_and_ignore_signals(int, char**, char**) {
+  // Later threads inherit the blocked signal, so it stays pending until a thread calls release_reload_signal().
   sigset_t reload;
   ::sigemptyset(&reload);
   ::sigaddset(&reload, madderdeck::node::kReloadSignal);
@@ -28,13 +30,14 @@
   struct sigaction ignored {};
   ignored.sa_handler = SIG_IGN;
   for (int number = 1; number <= SIGRTMAX; ++number) {
-    if (!is_left(number) && number != madderdeck::node::kReloadSignal) {
+    if (!keeps_disposition(number) && number != madderdeck::node::kReloadSignal) {
       ::sigaction(number, &ignored, nullptr);
     }
   }
 }
 
-/// Called once the program is loaded, before the static objects of any library are made.
-[[gnu::section(".preinit_array"), gnu::used]] void (*hold_signals_first)(int, char**, char**) = hold_signals;
+/// Called after the program is loaded, before the static objects of any library are constructed.
+[[gnu::section(".preinit_array"), gnu::used]] void (*hold_signals_first)(int, char**,
+                                                                         char**) = block_reload_and_ignore_signals;
 
 }  // namespace
--- a/src/node/peer_memory.cpp
+++ b/src/node/peer_memory.cpp
@@ -41,7 +41,7 @@
     read();
   }
   if (first) {
-    environment_.after(kLook, lifetime_.guard([this] { look(); }));
+    environment_.after(kCheckInterval, lifetime_.guard([this] { write_if_changed(); }));
   }
 }
 
@@ -59,7 +59,7 @@
   }
   const auto list = wire::decode_record<wire::MemberSyncT>(*bytes);
   if (!list) {
-    note_unread(Error{ErrorKind::corrupted, "no list of members"});
+    note_unread(Error{ErrorKind::corrupted, "the record is not a list of members"});
     return;
   }
   members_.recall(decode(*list));
@@ -71,9 +71,9 @@
   log_.record("peers_not_read", {{"error", error_kind_name(error.kind)}, {"detail", error.detail}});
 }
 
-void peer_memory::look() {
-  environment_.after(kLook, lifetime_.guard([this] { look(); }));
-  const bool rests = written_at_ && environment_.now() - *written_at_ < kLeastPause;
+void peer_memory::write_if_changed() {
+  environment_.after(kCheckInterval, lifetime_.guard([this] { write_if_changed(); }));
+  const bool rests = written_at_ && environment_.now() - *written_at_ < kMinWriteInterval;
   const bool changed = members_.version() != seen_version_ || !stored_;
   if (!read_ || rests || !changed) {
     return;
@@ -93,11 +93,11 @@
   storage_->put(kKey, encode(members_.remembered()));
   storage_->flush(lifetime_.guard([this](const Status& flushed) {
     stored_ = succeeded(flushed);
-    if (!stored_ && !was_told_) {
+    if (!stored_ && !failure_logged_) {
       log_.record("peers_not_stored",
                   {{"error", error_kind_name(error_of(flushed).kind)}, {"peers", members_.remembered().size()}});
     }
-    was_told_ = !stored_;
+    failure_logged_ = !stored_;
   }));
 }
 
