--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -29,7 +29,7 @@
   }
   Error error{kind_of(std::string(fields->at("title").as_string())), std::string(fields->at("detail").as_string())};
   if (const json::value* wait = fields->if_contains("retry_after_ms")) {
-    error.detail += " (come back in " + std::to_string(wait->to_number<std::int64_t>()) + " ms)";
+    error.detail += " (retry in " + std::to_string(wait->to_number<std::int64_t>()) + " ms)";
   }
   return error;
 }
--- a/src/cli/commands.hpp
+++ b/src/cli/commands.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The commands of madderdeck.
+/// @file The commands of the command line program madderdeck.
 
 #include <string>
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace madderdeck::cli {
 
-/// What a command gets to work with.
+/// Arguments, flags and fleet connection of a command.
 struct CommandContext {
   FleetClient& fleet;
   std::vector<std::string> arguments;  ///< After the command's name.
@@ -24,7 +24,7 @@
   bool expected_given = false;
 };
 
-/// One command with its help.
+/// One command with its usage and help texts.
 struct Command {
   std::string name;
   std::string usage;
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -1,4 +1,4 @@
-/// @file Looking at the fleet and stopping nodes.
+/// @file Commands that show the state of the fleet and stop nodes.
 
 #include <boost/json.hpp>
 #include <iostream>
@@ -23,7 +23,7 @@
   return json::parse(value_of(response).body);
 }
 
-/// Adds to each member what only that member knows.
+/// Adds to each member's row the details that only this member can report; they are queried from it.
 json::array members_with_details(FleetClient& fleet, const json::value& status) {
   json::array members;
   for (const json::value& member : status.at("members").as_array()) {
@@ -36,7 +36,7 @@
         row["revision"] = details.at("object_revision");
         row["live"] = details.at("live_active");
         const json::value* disk = details.as_object().if_contains("disk");
-        row["disk"] = disk == nullptr ? json::value("") : *disk;  // earlier versions do not tell it
+        row["disk"] = disk == nullptr ? json::value("") : *disk;  // earlier versions do not report it
       }
     }
     members.push_back(std::move(row));
@@ -44,7 +44,7 @@
   return members;
 }
 
-/// Prints the replica groups as the node that was asked sees them; a fleet of an earlier version tells none.
+/// Prints the replica groups in the view of the node that was asked; nodes of earlier versions report none.
 void print_groups(const json::value& status) {
   if (!status.as_object().contains("groups")) {
     return;
@@ -54,7 +54,7 @@
   std::cout << "\n";
   const table_rows gone = gone_disk_rows(status);
   if (!gone.rows.empty()) {
-    std::cout << "Disks gone for good of groups without a majority:\n";
+    std::cout << "Permanently gone disks of groups without a majority:\n";
     print_table(gone.rows, gone.columns);
     std::cout << "\n";
   }
--- a/src/cli/group_rows.cpp
+++ b/src/cli/group_rows.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// @return the part of a row that tells of one member; nodes of earlier versions tell less.
+/// @return the columns of a row that describe one member; nodes of earlier versions report fewer.
 json::object describe_member(const json::value& member) {
   constexpr std::int64_t kMillisecondsPerSecond = 1000;
   const json::object& told = member.as_object();
@@ -28,7 +28,7 @@
   return row;
 }
 
-/// @return the groups that @p status tells of.
+/// @return the groups that @p status reports.
 json::array groups_of(const json::value& status) {
   const json::value* groups = status.as_object().if_contains("groups");
   return groups == nullptr ? json::array() : groups->as_array();
@@ -44,7 +44,7 @@
     bool first = true;
     for (const json::value& member : group.at("members").as_array()) {
       json::object row = describe_member(member);
-      // A group's own figures stand in its first row.
+      // The figures of the group itself are shown only in its first row.
       row["group"] = first ? plain(group.at("group")) : "";
       row["epoch"] = first ? plain(group.at("epoch")) : "";
       row["votes"] = first ? votes : "";
--- a/src/cli/group_rows.hpp
+++ b/src/cli/group_rows.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The replica groups of a node's status as rows of tables.
+/// @file Converts the replica groups in a node's status into table rows.
 
 #include <boost/json.hpp>
 #include <string>
@@ -7,15 +7,15 @@
 
 namespace madderdeck::cli {
 
-/// Rows with the columns that are shown of them.
+/// Table rows with the columns that are printed.
 struct table_rows {
   boost::json::array rows;
   std::vector<std::string> columns;
 };
 
-/// @return a row for each member of each group; nodes of earlier versions tell no groups, or less of them.
+/// @return a row for each member of each group; nodes of earlier versions report no groups, or fewer fields of them.
 table_rows member_rows(const boost::json::value& status);
-/// @return a row for each disk that is gone for good and named by a group without a majority.
+/// @return a row for each permanently gone disk that is named by a group without a majority.
 table_rows gone_disk_rows(const boost::json::value& status);
 
 }  // namespace madderdeck::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-/// @file madderdeck: the command line for operators and callers.
+/// @file madderdeck: the command line program for operators and callers.
 
 #include <gflags/gflags.h>
 
@@ -7,18 +7,18 @@
 
 #include "cli/commands.hpp"
 
-DEFINE_string(nodes, "127.0.0.1:8000", "API addresses of nodes, with commas between; the first that answers is used.");
-DEFINE_string(key, "", "Bearer key: the tenant's for work, the operators' for the rest.");
+DEFINE_string(nodes, "127.0.0.1:8000", "API addresses of nodes, separated by commas; the first that responds is used.");
+DEFINE_string(key, "", "Bearer key: the tenant's for requests and jobs, the operators' for all other commands.");
 DEFINE_string(o, "table", "Output: table or json.");
-DEFINE_string(f, "", "As --file.");
+DEFINE_string(f, "", "Short for --file.");
 DEFINE_string(file, "", "File to read.");
 DEFINE_string(template_name, "", "Template of a request or job.");
-DEFINE_string(idempotency_key, "", "Key under which a resend finds the first one.");
+DEFINE_string(idempotency_key, "", "Idempotency key: a resend with the same key returns the first request or job.");
 DEFINE_string(deadline_ms, "", "Deadline of a job, Unix milliseconds.");
 DEFINE_string(body, "{}", "Body of a service call.");
 DEFINE_uint64(priority, 0, "Priority among batch jobs; greater goes first.");
-DEFINE_bool(wait, false, "apply: until in force everywhere; submit, job: until it has ended.");
-DEFINE_int64(expected, -1, "apply, delete: the revision that is being replaced; by default the one that stands.");
+DEFINE_bool(wait, false, "apply: wait until all nodes use the objects; submit, job: wait until the job has ended.");
+DEFINE_int64(expected, -1, "apply, delete: the revision to be replaced; by default the current one.");
 
 namespace madderdeck::cli {
 
@@ -30,8 +30,8 @@
       {"delete", "delete KIND NAME", "Removes a declared object.", run_delete},
       {"watch", "watch [KIND]", "Prints objects as they change.", run_watch},
       {"status", "status", "Shows nodes and back ends.", run_status},
-      {"top", "top [ROUNDS]", "Shows nodes, back ends and jobs again and again.", run_top},
-      {"drain", "drain ADDRESS", "Stops a node without cutting off a request.", run_drain},
+      {"top", "top [ROUNDS]", "Shows nodes, back ends and jobs repeatedly.", run_top},
+      {"drain", "drain ADDRESS", "Stops a node without interrupting a request.", run_drain},
       {"request", "request --template_name=T PROMPT", "Sends a live request.", run_request},
       {"call", "call --template_name=T [--idempotency_key=K] [--body=JSON]", "Calls a service.", run_call},
       {"submit", "submit --template_name=T --idempotency_key=K --file=FILE [--wait]", "Submits a job of JSON lines.",
@@ -100,7 +100,7 @@
   }
   const Command* command = find_command(words[0]);
   if (command == nullptr) {
-    return fail({ErrorKind::invalid_argument, "no command " + words[0] + "; see madderdeck help"});
+    return fail({ErrorKind::invalid_argument, "unknown command " + words[0] + "; see madderdeck help"});
   }
   if (FLAGS_o != "table" && FLAGS_o != "json") {
     return fail({ErrorKind::invalid_argument, "-o: found " + FLAGS_o + ", allowed is table or json"});
--- a/src/cli/object_commands.cpp
+++ b/src/cli/object_commands.cpp
@@ -1,4 +1,4 @@
-/// @file Declaring objects and reading them back.
+/// @file Commands that declare, read, watch and delete objects.
 
 #include <boost/json.hpp>
 #include <fstream>
@@ -34,13 +34,13 @@
   for (const json::value& object : objects) {
     const json::object* fields = object.if_object();
     if (fields == nullptr || !fields->contains("kind") || !fields->contains("name")) {
-      return Error{ErrorKind::invalid_argument, path + ": each object needs kind and name"};
+      return Error{ErrorKind::invalid_argument, path + ": each object must have the fields kind and name"};
     }
   }
   return objects;
 }
 
-/// An object as the fleet holds it now.
+/// An object as currently declared in the fleet; revision 0 if it does not exist.
 struct Standing {
   std::uint64_t revision = 0;
   json::value body;
@@ -58,7 +58,7 @@
   return Standing{value.at("revision").to_number<std::uint64_t>(), value.at("body")};
 }
 
-/// Waits until every member of the fleet holds @p revision.
+/// Waits until every member of the fleet has applied @p revision.
 Status wait_everywhere(FleetClient& fleet, std::uint64_t revision) {
   for (int step = 0; step < kWaitSteps; ++step) {
     const auto response = fleet.call("GET", "/admin/status");
@@ -80,7 +80,7 @@
     }
     std::this_thread::sleep_for(kWaitStep);
   }
-  return Error{ErrorKind::unavailable, "revision " + std::to_string(revision) + " is not in force everywhere yet"};
+  return Error{ErrorKind::unavailable, "revision " + std::to_string(revision) + " is not applied on all nodes yet"};
 }
 
 }  // namespace
@@ -178,7 +178,7 @@
 
 Status run_delete(CommandContext& context) {
   if (context.arguments.size() != 2) {
-    return Error{ErrorKind::invalid_argument, "delete needs KIND and NAME"};
+    return Error{ErrorKind::invalid_argument, "delete requires KIND and NAME"};
   }
   auto standing = standing_object(context.fleet, context.arguments[0], context.arguments[1]);
   if (!succeeded(standing)) {
--- a/src/cli/table.hpp
+++ b/src/cli/table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Output as a table for people or as JSON for scripts.
+/// @file Output of command results as a table for people or as JSON for scripts.
 
 #include <boost/json.hpp>
 #include <string>
@@ -10,7 +10,7 @@
 /// Prints the named members of each object as aligned columns.
 void print_table(const boost::json::array& rows, const std::vector<std::string>& columns);
 
-/// @return a JSON value as a person would write it: strings without quotes.
+/// @return a JSON value as text for people: strings without quotes.
 std::string plain(const boost::json::value& value);
 
 }  // namespace madderdeck::cli
--- a/src/cli/work_commands.cpp
+++ b/src/cli/work_commands.cpp
@@ -1,4 +1,4 @@
-/// @file Live requests and batch jobs from the command line.
+/// @file Commands for live requests, service calls and batch jobs.
 
 #include <boost/json.hpp>
 #include <fstream>
@@ -37,7 +37,7 @@
 
 Status need_job(const CommandContext& context) {
   if (context.arguments.size() != 1) {
-    return Error{ErrorKind::invalid_argument, "the name of one job is needed"};
+    return Error{ErrorKind::invalid_argument, "the name of one job is required"};
   }
   return Ok{};
 }
@@ -63,7 +63,7 @@
 
 Status run_request(CommandContext& context) {
   if (context.template_name.empty() || context.arguments.empty()) {
-    return Error{ErrorKind::invalid_argument, "request needs --template and a prompt"};
+    return Error{ErrorKind::invalid_argument, "request requires --template_name and a prompt"};
   }
   const json::object message{{"role", "user"}, {"content", context.arguments[0]}};
   const json::object body{{"model", context.template_name}, {"messages", json::array{message}}};
@@ -79,7 +79,7 @@
 
 Status run_call(CommandContext& context) {
   if (context.template_name.empty()) {
-    return Error{ErrorKind::invalid_argument, "call needs --template"};
+    return Error{ErrorKind::invalid_argument, "call requires --template_name"};
   }
   net::Headers headers;
   if (!context.idempotency_key.empty()) {
@@ -92,7 +92,8 @@
 Status run_submit(CommandContext& context) {
   std::ifstream file(context.file);
   if (!file || context.template_name.empty() || context.idempotency_key.empty()) {
-    return Error{ErrorKind::invalid_argument, "submit needs --template, --idempotency_key and a readable --file"};
+    return Error{ErrorKind::invalid_argument,
+                 "submit requires --template_name, --idempotency_key and a readable --file"};
   }
   std::ostringstream items;
   items << file.rdbuf();
--- a/src/net/boot_clock.hpp
+++ b/src/net/boot_clock.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file A clock that goes on while the machine is suspended, and timers by it.
+/// @file A clock that continues while the machine is suspended, and timers based on it.
 
 #include <boost/asio/basic_waitable_timer.hpp>
 #include <chrono>
@@ -7,8 +7,8 @@
 
 namespace madderdeck::net {
 
-/// Monotonic since the machine's start, CLOCK_BOOTTIME. Other machines go on measuring leases, deadlines and silences
-/// while this one is suspended; the steady clock stands still then, and all of these would seem to hold after it.
+/// Monotonic time since boot, CLOCK_BOOTTIME. Other machines continue to measure leases, deadlines and reply timeouts
+/// while this one is suspended; the steady clock stops then, so expired ones would seem valid after resuming.
 struct boot_clock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -23,8 +23,8 @@
   }
 };
 
-/// Asio sleeps by a clock that stands still while suspended and looks at the timers again when it wakes: one that
-/// became due meanwhile fires with the next timer that was due in any case, on a node within some 100 ms.
+/// Asio sleeps by a clock that stops during a suspension and checks its timers when it wakes: a timer that expired
+/// during the suspension fires together with the next timer that expires, on a node within some 100 ms.
 using boot_timer = boost::asio::basic_waitable_timer<boot_clock>;
 
 }  // namespace madderdeck::net
--- a/src/net/http_backend_client.cpp
+++ b/src/net/http_backend_client.cpp
@@ -30,7 +30,7 @@
   return CallFailure::broken;
 }
 
-/// Reads a back end's own refusal. Only its word "ran: no" makes it certain.
+/// Parses a back end's refusal. Only its field "ran" with the value "no" guarantees that the request did not run.
 CallFailure failure_of(unsigned status, const std::string& body) {
   boost::system::error_code ignored;
   const json::value problem = json::parse(body, ignored);
@@ -50,7 +50,7 @@
   return CallFailure::broken;
 }
 
-/// @return bytes of a report and its request on the wire, but for TCP's own.
+/// @return bytes of a load report and its request on the wire, without TCP overhead.
 CounterValue report_bytes(const SimpleResponse& response) {
   constexpr std::size_t kRequestBytes = 55;
   constexpr std::size_t kStatusLineBytes = 19;
@@ -62,7 +62,7 @@
   return static_cast<CounterValue>(total);
 }
 
-/// State of one engine call while its response arrives.
+/// State of one engine call while its response is being received.
 struct EngineStream {
   explicit EngineStream(routing::EngineEvents engine_events)
       : events(std::move(engine_events)), reader([this](std::string_view data) { on_event(data); }) {}
@@ -180,7 +180,7 @@
   request.target = "/load";
   ClientCallOptions options;
   options.idle_timeout = kReportTimeout;
-  options.may_end_with_connection = true;  // a report that was cut is no JSON
+  options.may_end_with_connection = true;  // a truncated report does not parse as JSON
   client_.fetch(
       backend.str(), std::move(request),
       [this, done](std::variant<SimpleResponse, CallBreak> result) {
--- a/src/net/http_backend_client.hpp
+++ b/src/net/http_backend_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file Engines and services over HTTP. The one place that knows their protocol; see
+/// @file Client for engines and services over HTTP. Only this client knows their protocol; see
 /// docs/design/outside-systems.md.
 
 #include <map>
@@ -29,7 +29,7 @@
   void check_reachable(const BackendId& backend, routing::ReachabilityDone done) override {
     client_.probe(backend.str(), kReachTimeout, std::move(done));
   }
-  /// Across zones an answer takes a few milliseconds.
+  /// A reply from another zone takes a few milliseconds.
   static constexpr std::chrono::milliseconds kReachTimeout{250};
 
  private:
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -30,13 +30,14 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t kPieceBytes = 32 * 1024;
 constexpr std::size_t kPooledPerEndpoint = 64;
-constexpr std::chrono::milliseconds kDefaultKeepAlive{4'000};  ///< Where the peer states none.
-constexpr std::chrono::milliseconds kKeepAliveMargin{500};     ///< Closed this long before the peer would.
-constexpr std::size_t kWriteFirstBytes = 16 * 1024;  ///< Longer bodies are written while the answer is awaited.
-constexpr std::size_t kMaxStrayResponses = 4;        ///< Read past on one connection.
-/// Across zones an answer takes a few milliseconds.
+constexpr std::chrono::milliseconds kDefaultKeepAlive{4'000};  ///< If the peer states none.
+constexpr std::chrono::milliseconds kKeepAliveMargin{500};     ///< Closed this long before the peer's timeout.
+constexpr std::size_t kWriteFirstBytes = 16 * 1024;  ///< Longer bodies are written while reading the response.
+constexpr std::size_t kMaxStrayResponses = 4;        ///< Max number that is skipped on one connection.
+/// A reply from another zone takes a few milliseconds.
 constexpr std::chrono::milliseconds kLifeSignTimeout{250};
-/// While a process ends, its address takes connections until the kernel comes to it, and resets them then.
+/// While a process terminates, its address accepts connections until the kernel closes the listening socket, and then
+/// resets them.
 constexpr std::chrono::milliseconds kLifeSignPause{5};
 constexpr unsigned kMostLifeSigns = 10;
 
@@ -51,12 +52,12 @@
   asio::steady_timer wakeup;
   bool cancelled = false;
   bool paused = false;
-  bool counted = false;  ///< Among the endpoint's open connections.
-  bool written = false;  ///< The whole request is out.
+  bool counted = false;  ///< Included in the endpoint's number of open connections.
+  bool written = false;  ///< The complete request has been written.
   bool write_failed = false;
 };
 
-/// A connection at rest.
+/// An idle connection in the pool.
 struct Pooled {
   std::unique_ptr<beast::tcp_stream> stream;
   boot_clock::time_point since;
@@ -69,7 +70,8 @@
   std::size_t busy = 0;
 };
 
-/// A silent peer ends a connection after about three seconds, whether or not bytes are on the way to it.
+/// Sets TCP options that break the connection when the peer is unresponsive for about three seconds, whether or not
+/// bytes are in transit to it.
 void bound_silence(tcp::socket& socket) {
   const int enabled = 1;
   const int seconds = 1;
@@ -99,7 +101,7 @@
   return message;
 }
 
-/// @return how long the peer keeps the connection at rest, from its Keep-Alive header.
+/// @return how long the peer keeps an idle connection open, from its Keep-Alive header.
 std::chrono::milliseconds keep_alive_of(const Headers& headers) {
   constexpr std::string_view kTimeout = "timeout=";
   const std::string_view value = find_header(headers, "Keep-Alive");
@@ -168,12 +170,12 @@
     done(!failure ? reachability::listening : (refused ? reachability::refused : reachability::silent));
   }
 
-  /// What a peer says to a life sign.
+  /// Result of a liveness request to a peer.
   enum class Life { answers, refuses, silent, breaks };
 
-  /// @return whether the peer should go on and takes no connections any more. One that says nothing may live, and so
-  /// may
-  ///         one that breaks each connection because it has too many.
+  /// @return whether the peer was expected to keep running and now refuses connections. A peer that does not respond
+  ///         may still be running, and so may one that breaks each connection because it has too many.
+  /// The check is skipped (false) if the call has no liveness request.
   asio::awaitable<bool> peer_has_ended(Call& call) {
     if (!call.options.life_sign || (call.options.peer_goes_on && !call.options.peer_goes_on())) {
       co_return false;
@@ -236,7 +238,7 @@
     }
   }
 
-  /// @return whether the endpoint may have one more open connection; an idle one gives way.
+  /// @return whether the endpoint may have one more open connection; an idle one is closed to make room.
   bool claim_connection(Call& call) {
     EndpointConnections& connections = pool[call.endpoint];
     if (connections.busy >= call.options.max_connections) {
@@ -290,7 +292,7 @@
   }
 
   asio::awaitable<void> run(CallNumber number, std::shared_ptr<Call> call) {
-    // Whatever happens below must not run inside start().
+    // Nothing below may run inside start(), since events must not be delivered there.
     co_await asio::post(context, asio::use_awaitable);
     if (call->cancelled) {
       co_return;
@@ -313,7 +315,7 @@
     }
     call->stream->expires_after(call->options.idle_timeout);
     if (call->request.body().size() > kWriteFirstBytes) {
-      // The peer may answer before it has read all of it.
+      // The peer may respond before it has read the whole request.
       asio::co_spawn(
           context, [self = shared_from_this(), call]() { return self->write_request(call); }, asio::detached);
     } else {
@@ -334,7 +336,7 @@
   }
 
   asio::awaitable<void> write_request(std::shared_ptr<Call> call) {
-    // A call that is cancelled meanwhile closes its stream; the write ends with an error then.
+    // If the call is cancelled during the write, its stream is closed and the write ends with an error.
     auto [failure, written] = co_await http::async_write(*call->stream, call->request, kAwait);
     call->written = !failure;
     call->write_failed = static_cast<bool>(failure);
@@ -342,7 +344,7 @@
 
   enum class ReadOutcome { ended, stray };
 
-  /// Reads one response. Its events run only if it belongs to the call.
+  /// Reads one response. Events are delivered only if it belongs to the call.
   asio::awaitable<ReadOutcome> read_response(CallNumber number, std::shared_ptr<Call> call,
                                              beast::flat_buffer& buffer) {
     http::response_parser<http::buffer_body> parser;
@@ -402,7 +404,7 @@
     }
     calls.erase(number);
     release_connection(*call);
-    // Bytes after a whole response belong to no request.
+    // Bytes after a complete response belong to no request, so the connection is not reused.
     if (parser.get().keep_alive() && buffer.size() == 0 && call->written) {
       give_back(*call, keep_alive_of(head.headers));
     } else {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -15,52 +15,54 @@
 
 namespace madderdeck::net {
 
-/// Why a call ended without a whole response.
+/// Why a call ended without a complete response.
 enum class CallBreak {
-  connect_failed,  ///< Not a byte was sent.
-  limit_reached,   ///< Not sent, since this client has as many connections to the endpoint as it may.
-  closed,          ///< The peer closed the connection, after sending had begun and before its answer was whole.
-  reset,           ///< The connection broke otherwise after sending had begun.
-  malformed,       ///< The peer's bytes are no answer to this call.
-  timed_out,       ///< No progress in time after sending had begun.
+  connect_failed,  ///< No byte was sent.
+  limit_reached,   ///< Not sent, since this client has its max number of connections to the endpoint.
+  closed,          ///< The peer closed the connection after sending had begun and before its response was complete.
+  reset,           ///< The connection broke in another way after sending had begun.
+  malformed,       ///< The peer's bytes are not a valid response to this call.
+  timed_out,       ///< No progress within the timeout after sending had begun.
 };
 
-/// @return a word for log lines.
+/// @return the name of @p reason for log lines.
 const char* call_break_name(CallBreak reason);
 
 struct ClientCallEvents {
   std::function<void(const ResponseHead&)> header;
   std::function<void(std::string_view piece)> body;
-  /// The response has ended as its framing says; whoever gets body_framing::until_close judges the end by itself.
+  /// The response has ended according to its framing; with body_framing::until_close the receiver has to decide whether
+  /// it is complete.
   std::function<void()> done;
   std::function<void(CallBreak)> failed;
 };
 
 struct ClientCallOptions {
   std::chrono::milliseconds connect_timeout{1000};
-  std::chrono::milliseconds idle_timeout{60'000};  ///< Longest wait for the next bytes.
-  bool fresh_connection = false;                   ///< Never an old connection, which may be half closed.
-  /// Longest time that a pooled connection may have been at rest to be used again.
+  std::chrono::milliseconds idle_timeout{60'000};  ///< Max time between two reads of bytes.
+  bool fresh_connection = false;                   ///< Never reuse a connection, since it may be half closed.
+  /// Max idle time of a pooled connection that is reused.
   std::chrono::milliseconds reuse_within{3'600'000};
-  /// Open connections to the endpoint, calls and pool together; a call beyond them is not sent.
+  /// Max open connections to the endpoint, in use and pooled; a call that would need one more is not sent.
   std::size_t max_connections = 10'000;
-  /// For fetch(): whether a response may have no framing of its own and end with its connection. One that was cut looks
-  /// the same: only for responses whose reader knows a whole one by itself. Others fail as closed.
+  /// For fetch(): whether a response may have no framing and end with its connection. A truncated one looks the same,
+  /// so this is only for responses whose reader recognizes a complete one. Without it such a response fails as closed.
   bool may_end_with_connection = false;
-  /// Sent when a response has ended with its connection: whoever answers it, however, has not ended with that
-  /// connection. Where nobody takes connections any more, the call fails as closed. Empty: nothing is asked.
+  /// Liveness request, sent when a response has ended with its connection: any answer shows that the peer's process did
+  /// not terminate with it. If the peer refuses connections, the call fails as closed. Empty: no check.
   std::optional<HttpRequest> life_sign;
-  /// Asked before that: whether the peer is expected to go on. One that is not may end right after its last response.
+  /// Called before the liveness request: whether the peer is expected to keep running. A peer that is shutting down may
+  /// terminate right after its last response, so it is not checked.
   std::function<bool()> peer_goes_on;
-  /// Asked right before the request is sent, when there is a connection: where it says no, the call fails as not sent.
-  /// Empty: it is.
+  /// Called once there is a connection, right before the request is sent: if it returns false, the call fails as not
+  /// sent. Empty: the request is always sent.
   std::function<bool()> still_wanted;
-  /// Tells whether a response is the one to this call. Others, which a faulty peer left on a
-  /// kept connection, are read past. Empty: every response is.
+  /// Returns whether a response belongs to this call. Others, which a faulty peer left on a
+  /// kept-alive connection, are skipped. Empty: every response belongs to it.
   std::function<bool(unsigned status, const Headers& headers)> belongs;
 };
 
-/// Whole response of a simple call.
+/// Complete response of a simple call.
 struct SimpleResponse {
   unsigned status = 0;
   Headers headers;
@@ -81,7 +83,7 @@
   /// Sends a request to @p endpoint ("ip:port"). Events never run inside this call.
   CallNumber start(const std::string& endpoint, HttpRequest request, ClientCallEvents events,
                    ClientCallOptions options = {});
-  /// Collects the whole response; see ClientCallOptions::may_end_with_connection.
+  /// Sends a request and collects the complete response; see ClientCallOptions::may_end_with_connection.
   CallNumber fetch(const std::string& endpoint, HttpRequest request, SimpleDone done, ClientCallOptions options = {});
   /// Opens a connection to @p endpoint and closes it at once. @p done never runs inside this call.
   void probe(const std::string& endpoint, std::chrono::milliseconds timeout, routing::ReachabilityDone done);
--- a/src/net/http_platform_client.cpp
+++ b/src/net/http_platform_client.cpp
@@ -19,14 +19,14 @@
 
 Error unusable(const std::string& what) { return Error{ErrorKind::corrupted, "platform answer: " + what}; }
 
-/// @return options of a call whose answer is a JSON document: one that was cut does not parse.
+/// @return options of a call whose answer is a JSON document: a truncated one does not parse, so no framing is needed.
 ClientCallOptions document_options() {
   ClientCallOptions options;
   options.may_end_with_connection = true;
   return options;
 }
 
-/// Parses a 200 answer with @p parse, which may throw on missing fields.
+/// Parses the body of a 200 answer with @p parse, which may throw on missing fields.
 template <class Value, class Parse>
 Result<Value> parse_answer(const std::string& body, Parse parse) {
   try {
@@ -122,7 +122,7 @@
           const auto revision = parse_answer<std::uint64_t>(response.body, [](const json::object& fields) {
             return fields.at("revision").to_number<std::uint64_t>();
           });
-          // It was written, or would have been but for what cannot be read here.
+          // The write may have been made, although the answer cannot be read.
           done(succeeded(revision) ? revision
                                    : Result<std::uint64_t>(Error{ErrorKind::ambiguous, error_of(revision).detail}));
         } else if (response.status == 409) {
@@ -131,7 +131,7 @@
           done(Error{ErrorKind::unavailable, "the platform's store is down"});
         } else {
           done(Error{ErrorKind::invalid_argument,
-                     "the platform refuses with status " + std::to_string(response.status)});
+                     "the platform refused the write with status " + std::to_string(response.status)});
         }
       },
       options);
--- a/src/net/http_platform_client.hpp
+++ b/src/net/http_platform_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file The platform's object API and machine list over HTTP.
+/// @file Client for the platform's object API and machine list over HTTP.
 
 #include "net/http_client.hpp"
 #include "object_store/platform_client.hpp"
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -23,7 +23,7 @@
 using tcp = asio::ip::tcp;
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t kPieceBytes = 64 * 1024;
-constexpr unsigned kFirstVersionWithChunks = 11;  ///< HTTP/1.1, as the parser counts.
+constexpr unsigned kFirstVersionWithChunks = 11;  ///< HTTP/1.1 in the parser's numbering.
 
 HttpRequest to_request(const http::request_header<>& header) {
   HttpRequest request;
@@ -35,7 +35,7 @@
   return request;
 }
 
-/// A condition that one coroutine waits for.
+/// A notification that one coroutine waits for.
 class Wakeup {
  public:
   explicit Wakeup(const asio::any_io_executor& executor) : timer_(executor) {}
@@ -89,7 +89,7 @@
     wakeup.notify();
   }
 
-  /// The connection broke: tells the handler once, unless its response has ended.
+  /// Called when the connection broke: notifies the handler once, unless its response has ended.
   void report_gone() {
     std::function<void()> hook;
     std::swap(hook, caller_gone);
@@ -108,7 +108,7 @@
   }
 
   Wakeup wakeup;
-  bool takes_chunks = true;  ///< Otherwise a streamed response ends with its connection.
+  bool takes_chunks = true;  ///< If false, a streamed response ends with its connection.
   std::optional<HttpResponse> whole;
   std::optional<HttpResponse> stream_header;
   std::string pending;
@@ -148,7 +148,7 @@
 
 namespace {
 
-/// One connection.
+/// One connection of a caller; serves its requests one after the other.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(std::shared_ptr<HttpServer::Implementation> server, tcp::socket socket)
@@ -242,7 +242,7 @@
     co_return false;
   }
 
-  /// Reads a whole body into the request.
+  /// Reads a complete body into the request.
   asio::awaitable<bool> collect_body(Parser& parser, HttpExchange& exchange) {
     std::string piece(std::min<std::size_t>(kPieceBytes, server_->options.max_body_bytes), '\0');
     while (!parser.is_done()) {
@@ -267,13 +267,14 @@
     co_return true;
   }
 
-  /// Reads a body to its end and forgets it: closing on unread bytes would reset the connection under the answer.
+  /// Reads a body to its end and discards it: closing a socket with unread bytes resets the connection, and the
+  /// response could be lost.
   asio::awaitable<bool> drop_body(Parser& parser, HttpExchange& exchange) {
     const bool whole = co_await collect_body(parser, exchange);
     co_return whole && !exchange.gone;
   }
 
-  /// Hands the body over piece by piece, at the handler's pace.
+  /// Passes the body to the handler piece by piece, whenever the handler asks for the next piece.
   asio::awaitable<bool> feed_body(Parser& parser, HttpExchange& exchange) {
     std::string piece(kPieceBytes, '\0');
     while (!exchange.finished) {
@@ -375,7 +376,7 @@
     http::response<http::empty_body> message;
     fill_header(message, *exchange.stream_header, keep_alive);
     if (exchange.takes_chunks) {
-      message.chunked(true);  // chunked(false) would drop a stated length
+      message.chunked(true);  // chunked(false) would remove a stated Content-Length
     }
     http::response_serializer<http::empty_body> serializer(message);
     stream_.expires_after(server_->options.write_timeout);
@@ -395,7 +396,7 @@
       std::swap(piece, exchange.pending);
       exchange.writing = piece.size();
       stream_.expires_after(server_->options.write_timeout);
-      // The end goes out with the last piece where both are known.
+      // The end of the response is written together with the last piece if it is known already.
       const bool last = exchange.finished && !exchange.aborted;
       const beast::error_code write_failure = co_await write_piece(piece, last, exchange.takes_chunks);
       exchange.writing = 0;
@@ -416,11 +417,12 @@
       auto [end_failure, end_bytes] = co_await asio::async_write(stream_, http::make_chunk_last(), kAwait);
       exchange.gone = exchange.gone || static_cast<bool>(end_failure);
     }
-    // Without a last chunk that is missing, an orderly close would say that the response is whole.
+    // Without chunks there is no last chunk to be missing: an orderly close would mark the response as complete, so an
+    // aborted one ends with a reset.
     ends_with_reset_ = !whole && !exchange.takes_chunks;
   }
 
-  /// @param last whether the end of the response goes out with it.
+  /// @param last whether the end of the response is written together with @p piece.
   asio::awaitable<beast::error_code> write_piece(const std::string& piece, bool last, bool in_chunks) {
     if (!in_chunks) {
       auto [failure, written] = co_await asio::async_write(stream_, asio::buffer(piece), kAwait);
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -24,25 +24,27 @@
   virtual const HttpRequest& request() const = 0;
   /// @return the address from which the caller is connected, without its port; empty where that is not known.
   virtual std::string caller_ip() const { return {}; }
-  /// Sends a whole response. Exactly one of respond and start_stream is called.
+  /// Sends a complete response. Exactly one of respond() and start_stream() must be called.
   virtual void respond(HttpResponse response) = 0;
   /// @return the body, moved out of the request.
   virtual std::string take_body() = 0;
-  /// Starts a response in chunks; to a caller that knows none (HTTP/1.0), one that ends with its connection. An empty
-  /// content type leaves it to the headers.
+  /// Starts a chunked response; for a caller without chunks (HTTP/1.0), one that ends with its connection. If the
+  /// content type is empty, the headers may state it.
   virtual void start_stream(unsigned status, const std::string& content_type, const Headers& headers) = 0;
-  /// Before start_stream(): the response has no chunks and ends with its connection. Its headers may state a length.
+  /// Called before start_stream(): the response is not chunked and ends with its connection. Its headers may state a
+  /// length.
   virtual void end_with_connection() {}
   virtual void write(std::string_view piece) = 0;
   virtual void finish() = 0;
-  /// Breaks the connection off, so that the caller cannot take a part for the whole. What was written goes out before.
+  /// Aborts the response and its connection, so that the caller cannot mistake a part for the complete response. Bytes
+  /// that were written before are sent first.
   virtual void abort() = 0;
-  /// @return response bytes that the caller has not taken yet.
+  /// @return number of response bytes that have not been sent to the caller yet.
   virtual std::size_t backlog() const = 0;
   virtual void on_backlog_gone(std::function<void()> hook) = 0;
   /// Called when the caller closes its connection before the response has ended.
   virtual void on_caller_gone(std::function<void()> hook) = 0;
-  /// Starts reading a streamed body; only where ServerOptions::streams_body said so.
+  /// Starts reading a streamed body; only if ServerOptions::streams_body returned true for the request.
   virtual void read_body(BodyHandler handler) = 0;
 };
 
@@ -56,11 +58,12 @@
   std::chrono::milliseconds body_timeout{30'000};
   std::chrono::milliseconds write_timeout{60'000};
   std::chrono::milliseconds idle_timeout{120'000};
-  /// Whether the body of a request is handed over piece by piece, without a total limit.
+  /// Returns whether the body of a request is passed on piece by piece, without a limit of its total size.
   std::function<bool(const HttpRequest&)> streams_body;
-  /// Looks at the head of a request; an answer is sent at once, and the body read and dropped. May be empty.
+  /// Called with the head of a request; if it returns a response, this is sent at once, and the body is read and
+  /// discarded. May be empty.
   std::function<std::optional<HttpResponse>(const HttpRequest&)> answer_head;
-  /// Builds the response to a request that the server itself refuses (limits, bad syntax).
+  /// Builds the response to a request that the server itself refuses (limits, malformed HTTP).
   std::function<HttpResponse(const Error&)> refusal;
 };
 
@@ -71,14 +74,14 @@
   ~HttpServer();
 
   /// @return ErrorKind::address_in_use when the address is taken, ErrorKind::invalid_argument
-  ///         when it is none of this machine's.
+  ///         if this machine does not have the address.
   Status listen(const std::string& address);
-  /// Changes what callers may send and how long they may take, from the next request on.
+  /// Changes the limits and timeouts of requests, from the next request on.
   void set_limits(std::size_t max_header_bytes, std::size_t max_body_bytes, std::chrono::milliseconds header_timeout,
                   std::chrono::milliseconds idle_timeout);
   /// From now on every response asks its caller to close the connection.
   void announce_closing();
-  /// Stops accepting and closes idle connections; others end with their present request.
+  /// Stops accepting and closes idle connections; other connections are closed after their current request.
   void stop_accepting();
   std::size_t connections() const;
 
--- a/src/net/http_types.hpp
+++ b/src/net/http_types.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// @file HTTP messages as the rest of the program sees them; Beast stays inside src/net.
+/// @file HTTP message types for the rest of the program, so that Boost.Beast is used only in src/net.
 
 #include <string>
 #include <string_view>
@@ -27,14 +27,14 @@
   std::string query(std::string_view name) const;
 };
 
-/// How a message says where its body ends.
+/// How a message marks the end of its body.
 enum class body_framing {
-  length,       ///< It states its length, or it can have no body.
-  chunks,       ///< Up to the last chunk.
-  until_close,  ///< It does not: the body ends with the connection, a whole one like one that was broken off.
+  length,       ///< The message states its length, or it cannot have a body.
+  chunks,       ///< The body ends with the last chunk.
+  until_close,  ///< No mark: the body ends with the connection, and a complete one looks like a truncated one.
 };
 
-/// @return a word for log lines.
+/// @return the name of the framing for log lines.
 inline std::string_view body_framing_name(body_framing framing) {
   switch (framing) {
     case body_framing::length:
@@ -47,7 +47,7 @@
   return "until_close";
 }
 
-/// Head of a response while its body is still to come.
+/// Head of a response whose body has not been received yet.
 struct ResponseHead {
   unsigned status = 0;
   Headers headers;
@@ -61,7 +61,7 @@
   std::string body;
 };
 
-/// An "ip:port" text taken apart; nothing when it is malformed.
+/// Parses an "ip:port" text; nothing if it is malformed.
 struct Endpoint {
   std::string ip;
   unsigned short port = 0;
--- a/src/net/sse_reader.hpp
+++ b/src/net/sse_reader.hpp
@@ -7,7 +7,7 @@
 
 namespace madderdeck::net {
 
-/// Feed it pieces as they arrive; it calls back with the data of each whole event.
+/// Accepts pieces of the stream as they arrive and calls back with the data of each complete event.
 class SseReader {
  public:
   explicit SseReader(std::function<void(std::string_view data)> on_event) : on_event_(std::move(on_event)) {}
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -2,7 +2,7 @@
 
 namespace madderdeck::wire {
 namespace {
-/// FlatBuffers wants aligned input; received bytes come at any address.
+/// Copies to aligned memory: FlatBuffers requires aligned input, and received bytes may start at any address.
 std::vector<std::uint64_t> aligned_copy(std::string_view bytes) {
   std::vector<std::uint64_t> words((bytes.size() + sizeof(std::uint64_t) - 1) / sizeof(std::uint64_t));
   std::copy(bytes.begin(), bytes.end(), reinterpret_cast<char*>(words.data()));
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -24,11 +24,11 @@
 /// @return the encoded frame holding @p messages, all from @p sender.
 Bytes encode_frame(const PeerAddress& sender, const std::vector<MessageUnion>& messages);
 
-/// @return bytes of the values, bodies and texts in @p message that may be long; the rest of a message is small.
+/// @return total bytes of the values, bodies and texts in @p message that may be long; all other fields are small.
 std::size_t payload_bytes(const MessageUnion& message);
 
 /// Verifies and decodes a frame.
-/// @return the messages, or ErrorKind::corrupted when the bytes are no valid frame.
+/// @return the messages, or ErrorKind::corrupted if the bytes are not a valid frame.
 Result<std::vector<Incoming>> decode_frame(std::string_view bytes);
 
 /// Encodes one table, for durable records.
@@ -40,7 +40,7 @@
 }
 
 /// Verifies and decodes one table.
-/// @return nothing when the bytes are no valid table of that type.
+/// @return nothing if the bytes are not a valid table of that type.
 template <class NativeTable, class Container>
 std::optional<NativeTable> decode_record(const Container& bytes) {
   const auto* data = reinterpret_cast<const std::uint8_t*>(bytes.data());
