--- a/tests/cli/group_rows_test.cpp
+++ b/tests/cli/group_rows_test.cpp
@@ -1,4 +1,4 @@
-/// The replica groups as `madderdeck status` prints them.
+/// Tests the tables of replica groups that `madderdeck status` prints.
 #include <catch2/catch.hpp>
 #include <iostream>
 #include <sstream>
@@ -22,7 +22,7 @@
     {"node":"b","disk":"disk-b","state":"disk_replaced","state_for_ms":2000,"why":"its node runs with disk-b2",
      "heard_ms_ago":4200,"address":"b:1"}]}]})";
 
-/// @return what is printed of @p table.
+/// @return the printed text of @p table.
 std::string printed(const table_rows& table) {
   std::ostringstream text;
   std::streambuf* const before = std::cout.rdbuf(text.rdbuf());
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("the table of disks that are gone for good names the group, the disk and the reason") {
+TEST_CASE("the table of permanently gone disks names the group, the disk and the reason") {
   CHECK(printed(gone_disk_rows(json::parse(kStatus))) ==
         "GROUP  EPOCH  DISK      REASON         WHY\n"
         "1      4      b/disk-b  disk_replaced  its node runs with disk-b2\n"
@@ -49,7 +49,7 @@
         "disk-b2\n");
 }
 
-TEST_CASE("nodes of earlier versions tell no disks that are gone, and no groups at all") {
+TEST_CASE("nodes of earlier versions report no gone disks, or no groups at all") {
   CHECK(gone_disk_rows(json::parse(R"({"groups":[{"group":0,"epoch":1,"members":[]}]})")).rows.empty());
   CHECK(gone_disk_rows(json::parse("{}")).rows.empty());
   CHECK(member_rows(json::parse("{}")).rows.empty());
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -33,7 +33,7 @@
 };
 }  // namespace
 
-TEST_CASE("a request is answered, over one connection again and again") {
+TEST_CASE("several requests are answered over one connection") {
   ServerFixture fixture([](const std::shared_ptr<Exchange>& exchange) {
     exchange->respond({200, "text/plain", {}, exchange->request().body + exchange->request().query("x")});
   });
@@ -45,7 +45,7 @@
   CHECK(fixture.server.connections() == 1);
 }
 
-TEST_CASE("limits are answered with a typed error and the server goes on") {
+TEST_CASE("requests beyond limits get a typed error and the server continues to serve") {
   ServerFixture fixture([](const std::shared_ptr<Exchange>& exchange) {
     exchange->respond({200, "text/plain", {}, "ok"});
   });
@@ -60,7 +60,7 @@
   CHECK(good->body == "ok");
 }
 
-TEST_CASE("a second server on the address is refused with its type") {
+TEST_CASE("starting a second server on the same address fails with a typed error") {
   ServerFixture fixture([](const std::shared_ptr<Exchange>&) {});
   HttpServer second(
       fixture.http.context, fixture.counters, [](const std::shared_ptr<Exchange>&) {}, small_limits());
@@ -69,7 +69,7 @@
   CHECK(error_of(status).kind == ErrorKind::address_in_use);
 }
 
-TEST_CASE("a caller that goes away is noticed, a refused connection is not sent") {
+TEST_CASE("a caller's disconnection is reported, and a call with a refused connection fails as not sent") {
   bool gone = false;
   ServerFixture fixture([&gone](const std::shared_ptr<Exchange>& exchange) {
     exchange->start_stream(200, "text/plain", {});
@@ -92,7 +92,7 @@
   CHECK(*reason == CallBreak::connect_failed);
 }
 
-TEST_CASE("an aborted stream is broken for the caller, not whole") {
+TEST_CASE("an aborted stream ends with an error for the caller and is not complete") {
   ServerFixture fixture([](const std::shared_ptr<Exchange>& exchange) {
     exchange->start_stream(200, "text/plain", {});
     exchange->write("part");
@@ -101,7 +101,7 @@
   CHECK_FALSE(fixture.http.call(kAddress, "GET", "/", "", {}, std::chrono::milliseconds(3000)));
 }
 
-TEST_CASE("server-sent events are put together from pieces") {
+TEST_CASE("server-sent events are assembled from pieces") {
   std::vector<std::string> events;
   SseReader reader([&events](std::string_view data) { events.emplace_back(data); });
   reader.feed("data: on");
@@ -110,7 +110,7 @@
   CHECK(events == std::vector<std::string>{"one", "two"});
 }
 
-TEST_CASE("a request that its head shows to be refused is answered at once, and its connection serves the next one") {
+TEST_CASE("a request that is refused by its head is answered at once, and its connection serves the next request") {
   bench::HttpSession http;
   Counters counters;
   ServerOptions options = small_limits();
@@ -141,11 +141,11 @@
   CHECK(server.connections() == 1);
 }
 
-TEST_CASE("a probe tells an address where somebody listens from one where nobody does") {
+TEST_CASE("a probe distinguishes an address with a listener from one without") {
   const auto probe = [](bench::HttpSession& http, const std::string& address) {
     std::optional<routing::reachability> found;
     http.client.probe(address, std::chrono::milliseconds(500), [&](routing::reachability what) { found = what; });
-    CHECK_FALSE(found);  // never inside the call
+    CHECK_FALSE(found);  // the callback never runs inside the call
     http.run_until([&] { return found.has_value(); }, std::chrono::milliseconds(2000));
     return found;
   };
@@ -157,7 +157,7 @@
 
 namespace {
 
-/// @return what the caller of a response gets whose stream has one piece and is then ended by @p end.
+/// @return what the caller receives of a streamed response that has one piece and is then ended by @p end.
 tests::caller_answer stream_to(const std::string& protocol, const std::function<void(Exchange&)>& end) {
   ServerFixture fixture([&end](const std::shared_ptr<Exchange>& exchange) {
     exchange->start_stream(200, "text/plain", {});
@@ -171,14 +171,14 @@
 
 }  // namespace
 
-TEST_CASE("what was written before a response is broken off goes out") {
+TEST_CASE("bytes that were written before a response is aborted are sent") {
   const auto got = stream_to("HTTP/1.1", [](Exchange& exchange) { exchange.abort(); });
   CHECK(got.status == 200);
   CHECK(got.body == "piece");
   CHECK_FALSE(got.looks_complete);
 }
 
-TEST_CASE("a stream to a caller without chunks ends with its connection, and with a reset when it is broken off") {
+TEST_CASE("a stream to a caller without chunks ends with its connection, and with a reset if it is aborted") {
   const auto whole = stream_to("HTTP/1.0", [](Exchange& exchange) { exchange.finish(); });
   CHECK(whole.framing == body_framing::until_close);
   CHECK(whole.looks_complete);
@@ -188,7 +188,7 @@
   CHECK_FALSE(broken.looks_complete);
 }
 
-TEST_CASE("a response that ends with its connection is taken only by readers that know a whole one") {
+TEST_CASE("a response that ends with its connection is accepted only by readers that recognize a complete one") {
   for (const bool may_end : {false, true}) {
     bench::HttpSession http;
     tests::raw_engine peer(http.context, "127.91.0.1", 9301, [](const std::string&) {
--- a/tests/platform/broken_off_answers_test.cpp
+++ b/tests/platform/broken_off_answers_test.cpp
@@ -1,5 +1,5 @@
-/// Answers of engines in every framing, cut at each byte and ended in every way, from the engine's socket to the
-/// caller's.
+/// Engines send answers in every framing, truncated at each byte and ended in every way; the tests check what reaches
+/// the caller's socket.
 #include <catch2/catch.hpp>
 
 #include "emulator/server_support.hpp"
@@ -28,10 +28,10 @@
 constexpr unsigned kEngines = 2;
 constexpr unsigned kOk = 200;
 constexpr unsigned kFirstServerError = 500;
-/// Longest that a caller waits in a test; no promise of the product.
+/// Max time that a caller waits in a test; not a limit that the product guarantees.
 constexpr std::chrono::seconds kTestPatience{10};
 
-/// The routes of the table test.
+/// Kinds of routes that the table test covers.
 enum class answer_kind { stream, resumable_stream, repeatable, unrepeatable };
 constexpr answer_kind kKinds[] = {answer_kind::stream, answer_kind::resumable_stream, answer_kind::repeatable,
                                   answer_kind::unrepeatable};
@@ -65,7 +65,7 @@
   return text;
 }
 
-/// @return the whole events among the first @p bytes of the stream.
+/// @return the complete events within the first @p bytes of the stream.
 std::string whole_events(std::size_t bytes) {
   std::string text;
   for (const std::string& event : kEvents) {
@@ -77,7 +77,7 @@
   return text;
 }
 
-/// The store is never asked: what it would say is given to the node.
+/// A platform client that never responds: the tests pass the configuration directly to the node.
 class silent_store : public object_store::PlatformClient {
  public:
   void watch_objects(std::uint64_t, Duration, object_store::ChangesDone) override {}
@@ -95,7 +95,7 @@
   return head.substr(value, head.find("\r\n", value) - value);
 }
 
-/// Answers the first request as the cell of the table says, all later ones whole.
+/// Answers the first request as the table cell specifies, and all later ones completely.
 struct scripted_pool {
   answer_kind kind = answer_kind::stream;
   body_framing framing = body_framing::length;
@@ -124,7 +124,7 @@
   }
 };
 
-/// A node with its entry for callers and two engines, all on real sockets.
+/// A node with its listener for callers and two engines, all on real sockets.
 struct whole_path {
   explicit whole_path(scripted_pool& pool) : script(pool) {
     for (unsigned number = 0; number < kEngines; ++number) {
@@ -222,14 +222,14 @@
   std::unique_ptr<net::HttpServer> server;
 };
 
-/// What the pages ask for in one cell of the table.
+/// The answer that the protocol pages require in one cell of the table.
 struct expected_answer {
   bool complete = false;
-  std::string body;        ///< Of a complete one, and of one that is broken off and ended by an orderly close.
-  bool body_known = true;  ///< Otherwise any beginning of it, since a reset may overtake bytes.
+  std::string body;        ///< Of a complete answer, and of a truncated one that ended by an orderly close.
+  bool body_known = true;  ///< If false, any prefix of it is right, since a reset may overtake bytes.
 };
 
-/// @return whether the engine's bytes up to the cut are a whole answer, as far as anybody can tell.
+/// @return whether the engine's bytes up to the cut look like a complete answer to any reader.
 bool is_whole(const scripted_pool& cell, const framed_answer& answer) {
   if (cell.framing != body_framing::until_close) {
     return cell.cut == answer.bytes().size();
@@ -245,14 +245,14 @@
   if (is_whole(cell, answer)) {
     return {true, all.substr(0, body)};
   }
-  // Who says nothing takes the request's time with it.
+  // An unresponsive engine uses up the request's time, so there is no retry.
   if (may_go_on(cell.kind) && cell.ending != connection_ending::silent) {
     return {true, all};
   }
   return {false, is_stream(cell.kind) ? whole_events(body) : "", cell.ending != connection_ending::reset};
 }
 
-/// @return what is wrong with @p got; empty where nothing is.
+/// @return the difference between @p got and @p wanted; empty if there is none.
 std::string fault_of(const caller_answer& got, const expected_answer& wanted) {
   if (!got.ended) {
     return "the caller still waits";
@@ -276,8 +276,8 @@
   return got.body.empty() ? "begun without an event" : "";
 }
 
-/// Plays the cells of @p kind and @p framing that end by @p ending, cut at every @p step-th byte.
-/// @return a line for each cell that went wrong.
+/// Runs the cells of @p kind and @p framing that end by @p ending, truncated at every @p step-th byte.
+/// @return a line for each cell with a wrong result.
 std::vector<std::string> play_cells(answer_kind kind, body_framing framing, connection_ending ending,
                                     std::size_t step = 1) {
   scripted_pool pool;
@@ -309,7 +309,7 @@
   return text;
 }
 
-/// Plays all kinds of route in all framings.
+/// Runs all kinds of routes in all framings.
 std::vector<std::string> play_all(connection_ending ending, std::size_t step = 1) {
   std::vector<std::string> faults;
   for (const answer_kind kind : kKinds) {
@@ -323,26 +323,26 @@
 
 }  // namespace
 
-// An engine ended while it sent an answer without a length, and half an event was the last that the caller got.
+// An engine terminated while it sent an answer without a length, and the caller's stream ended with half an event.
 TEST_CASE("a stream that ends inside an event with its connection is not framed as complete") {
   const auto faults = play_cells(answer_kind::stream, body_framing::until_close, connection_ending::closed);
   INFO(first_lines(faults));
   CHECK(faults.empty());
 }
 
-TEST_CASE("answers cut at each byte by an orderly close") {
+TEST_CASE("answers truncated at each byte by an orderly close") {
   const auto faults = play_all(connection_ending::closed);
   INFO(first_lines(faults));
   CHECK(faults.empty());
 }
 
-TEST_CASE("answers cut at each byte by a reset") {
+TEST_CASE("answers truncated at each byte by a reset") {
   const auto faults = play_all(connection_ending::reset);
   INFO(first_lines(faults));
   CHECK(faults.empty());
 }
 
-TEST_CASE("answers that fall silent") {
+TEST_CASE("answers whose engine becomes unresponsive") {
   constexpr std::size_t kStep = 61;
   const auto faults = play_all(connection_ending::silent, kStep);
   INFO(first_lines(faults));
@@ -351,7 +351,7 @@
 
 namespace {
 
-/// A stream that may not be resumed, cut inside its second event.
+/// A stream that must not be resumed, truncated inside its second event.
 scripted_pool cut_stream() {
   scripted_pool pool;
   pool.framing = body_framing::until_close;
@@ -378,7 +378,7 @@
   CHECK(got.body == joined(kEvents));
 }
 
-TEST_CASE("a caller that speaks HTTP 1.0 sees a reset where a stream was broken off") {
+TEST_CASE("a caller that speaks HTTP 1.0 sees a reset if a stream is truncated") {
   scripted_pool pool = cut_stream();
   whole_path path(pool);
   const caller_answer got = path.call(path.request("HTTP/1.0"));
@@ -387,7 +387,7 @@
   CHECK_FALSE(got.looks_complete);
 }
 
-TEST_CASE("a caller that asks to close its connection sees that a stream was broken off") {
+TEST_CASE("a caller that asks to close its connection can detect a truncated stream") {
   scripted_pool pool = cut_stream();
   whole_path path(pool);
   const caller_answer got = path.call(path.request("HTTP/1.1", "Connection: close\r\n"));
@@ -396,7 +396,7 @@
   CHECK_FALSE(got.looks_complete);
 }
 
-TEST_CASE("a caller that keeps its connection finds nothing of the next answer after one that was broken off") {
+TEST_CASE("a caller that keeps its connection receives no part of a next answer after a truncated one") {
   scripted_pool pool = cut_stream();
   whole_path path(pool);
   const caller_answer got = path.call(path.request() + path.request());
@@ -409,7 +409,7 @@
 
 namespace {
 
-/// What became of one run of a batch item.
+/// Outcome of one run of a batch item.
 struct item_outcome {
   std::vector<std::string> events;
   std::optional<std::uint32_t> finished_at;
@@ -440,7 +440,7 @@
   return outcome;
 }
 
-/// @return a line for each cut at which the run of an item does not end as it has to.
+/// @return a line for each cut at which the run of an item has a wrong outcome.
 std::vector<std::string> play_item_cells(body_framing framing, connection_ending ending) {
   scripted_pool pool;
   pool.framing = framing;
@@ -463,7 +463,7 @@
 
 }  // namespace
 
-TEST_CASE("runs of batch items cut at each byte") {
+TEST_CASE("runs of batch items truncated at each byte") {
   std::vector<std::string> faults;
   for (const connection_ending ending : {connection_ending::closed, connection_ending::reset}) {
     for (const body_framing framing : kFramings) {
@@ -477,7 +477,7 @@
 
 namespace {
 
-/// An answer without a length that ends between two of its pieces, as its engine's process ends.
+/// An answer without a length that ends between two of its pieces because its engine's process terminates.
 scripted_pool ended_with_process(answer_kind kind) {
   scripted_pool pool;
   pool.kind = kind;
@@ -490,8 +490,9 @@
 
 }  // namespace
 
-// Each event was whole, and the connection of an engine that had ended was closed in order.
-TEST_CASE("a stream without a length that ends with its engine is not framed as complete") {
+// Each event was complete, and the connection of the terminated engine was closed in order, so the stream looked
+// complete.
+TEST_CASE("a stream without a length that ends as its engine terminates is not framed as complete") {
   scripted_pool pool = ended_with_process(answer_kind::stream);
   whole_path path(pool);
   const caller_answer got = path.call(path.request());
@@ -500,7 +501,7 @@
   CHECK_FALSE(got.looks_complete);
 }
 
-TEST_CASE("an answer without a length that ends with its engine goes on elsewhere where it may") {
+TEST_CASE("an answer without a length that ends as its engine terminates is retried on another engine where allowed") {
   for (const answer_kind kind : {answer_kind::resumable_stream, answer_kind::repeatable}) {
     scripted_pool pool = ended_with_process(kind);
     whole_path path(pool);
@@ -511,13 +512,13 @@
   }
 }
 
-TEST_CASE("a plain answer without a length that ends with its engine is refused where it may not run again") {
+TEST_CASE("a plain answer without a length that ends as its engine terminates is an error if it must not run again") {
   scripted_pool pool = ended_with_process(answer_kind::unrepeatable);
   whole_path path(pool);
   CHECK(path.call(path.request()).status >= kFirstServerError);
 }
 
-TEST_CASE("a run of a batch item without a length that ends with its engine has failed") {
+TEST_CASE("a batch item's run fails if its answer has no length and ends as the engine terminates") {
   scripted_pool pool = ended_with_process(answer_kind::stream);
   whole_path path(pool);
   const auto outcome = run_item(path);
@@ -525,8 +526,8 @@
   CHECK(outcome->failure == routing::CallFailure::broken);
 }
 
-// The address of a killed engine took connections for some milliseconds more.
-TEST_CASE("a stream without a length is not framed as complete while its engine is still ending") {
+// The address of a killed engine accepted connections for some more milliseconds.
+TEST_CASE("a stream without a length is not framed as complete while its engine is still terminating") {
   scripted_pool pool = ended_with_process(answer_kind::stream);
   pool.ending = connection_ending::ending;
   whole_path path(pool);
@@ -536,7 +537,7 @@
   CHECK_FALSE(got.looks_complete);
 }
 
-TEST_CASE("an answer without a length is whole where its engine lives and resets new connections") {
+TEST_CASE("an answer without a length is complete if its engine is running and resets new connections") {
   scripted_pool pool = whole_stream();
   pool.ending = connection_ending::full;
   whole_path path(pool);
@@ -545,7 +546,7 @@
   CHECK(got.body == joined(kEvents));
 }
 
-TEST_CASE("the last answer of an engine that is to end is whole though nobody listens there any more") {
+TEST_CASE("the last answer of a draining engine is complete although it refuses connections afterwards") {
   scripted_pool pool = whole_stream();
   pool.ending = connection_ending::gone;
   whole_path path(pool);
--- a/tests/platform/deploy_settings_test.cpp
+++ b/tests/platform/deploy_settings_test.cpp
@@ -1,4 +1,4 @@
-/// The deploy files' settings, filled as the platform fills them, pass the program's own check.
+/// The deploy files' settings, with placeholders filled in as the platform does, pass the program's settings check.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <map>
@@ -17,7 +17,7 @@
   return text.str();
 }
 
-/// Fills single gaps; the list of seeds is written out by the caller.
+/// Fills in single placeholders; the caller writes out the list of seeds.
 std::string fill(std::string text, const std::map<std::string, std::string>& values) {
   for (const auto& [name, value] : values) {
     for (std::size_t at = text.find(name); at != std::string::npos; at = text.find(name, at + value.size())) {
@@ -59,12 +59,12 @@
 
 }  // namespace
 
-TEST_CASE("the deploy files' settings are in order") {
+TEST_CASE("the deploy files' settings are valid") {
   const auto gateway = load("deploy/gateway.toml", "10.200.1.7:8142");
   REQUIRE(succeeded(gateway));
   CHECK(value_of(gateway).has_role("gateway"));
   CHECK_FALSE(value_of(gateway).has_role("ledger"));
-  CHECK(value_of(gateway).seeds.at(0) == "10.1.0.35:7660");  // peers hear at the same port everywhere
+  CHECK(value_of(gateway).seeds.at(0) == "10.1.0.35:7660");  // nodes listen for peers at the same port on every machine
   CHECK(value_of(gateway).platform_apply_within_ms == 4000);
   CHECK(value_of(gateway).leave_notice_ms == 3000);
   CHECK(value_of(gateway).zone_evacuations == 1);
--- a/tests/platform/engine_client_test.cpp
+++ b/tests/platform/engine_client_test.cpp
@@ -1,4 +1,4 @@
-/// Engines that answer with scripted bytes, good and bad ones.
+/// Tests the engine client with engines that answer with scripted bytes, valid and malformed.
 #include "engine_client.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr char kAddress[] = "127.91.0.2:9310";
-constexpr char kNobody[] = "127.91.0.2:9399";  ///< Nothing listens there.
+constexpr char kNobody[] = "127.91.0.2:9399";  ///< An address without a listener.
 
-/// Answers the n-th request of all connections with the n-th script; an empty one says nothing.
+/// Answers the n-th request over all connections with the n-th script; an empty script sends nothing.
 class ScriptedEngine {
  public:
   struct Script {
@@ -86,7 +86,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// What came of one call.
+/// Outcome of one call.
 struct Outcome {
   std::optional<forwarding::AnswerHead> head;
   std::string body;
@@ -129,7 +129,7 @@
 
 }  // namespace
 
-TEST_CASE("an engine's answer, its load and the kept connection") {
+TEST_CASE("an engine's answer and its load report are read over one kept-alive connection") {
   Fixture fixture({{answer("r1", "whole", "X-Madderdeck-Server-Load: 3,2,8\r\n")}, {answer("r2", "again")}});
   const Outcome first = fixture.call("r1");
   CHECK(first.finished);
@@ -143,9 +143,9 @@
   CHECK(fixture.engine.requests.at(0).find("Host: h.example\r\n") != std::string::npos);
 }
 
-// A request that was given to an engine could wait for its connection for up to a second, and arrived however long ago
-// the engine had said that it leaves.
-TEST_CASE("a request is not sent to an engine that has begun to leave while the connection was made") {
+// A request that was assigned to an engine could wait up to a second for its connection, and was then sent even if the
+// engine had reported meanwhile that it drains.
+TEST_CASE("a request is not sent to an engine that has begun to drain while the connection was made") {
   Fixture fixture({{answer("r1", "one")}});
   fixture.directory.open = false;
   const Outcome left = fixture.call("r1");
@@ -156,13 +156,13 @@
   CHECK(fixture.call("r1").body == "one");
 }
 
-TEST_CASE("an extra answer on a kept connection belongs to nobody") {
+TEST_CASE("an extra answer on a kept-alive connection is discarded") {
   Fixture fixture({{answer("r1", "one") + answer("r1", "one")}, {answer("r2", "two")}});
   CHECK(fixture.call("r1").body == "one");
   CHECK(fixture.call("r2").body == "two");
 }
 
-TEST_CASE("an answer to an earlier request is read past") {
+TEST_CASE("an answer to an earlier request is skipped") {
   Fixture fixture({{answer("r1", "one")}, {answer("r1", "late") + answer("r2", "two")}});
   CHECK(fixture.call("r1").body == "one");
   const Outcome second = fixture.call("r2");
@@ -187,19 +187,19 @@
   CHECK(fixture.call("r1").failure == routing::CallFailure::broken);
 }
 
-TEST_CASE("bytes that are no answer are a failure") {
+TEST_CASE("bytes that are not an HTTP answer are a failure") {
   Fixture fixture({{"garbage garbage\r\n\r\n", true}});
   CHECK(fixture.call("r1").failure == routing::CallFailure::broken);
 }
 
-TEST_CASE("a success without the engine's stamp, or encoded, is none") {
+TEST_CASE("a 200 answer that lacks the engine's headers or is content-encoded is a failure") {
   Fixture fixture({{"HTTP/1.1 200 OK\r\nX-Madderdeck-Request-Id: r1\r\nContent-Length: 2\r\n\r\nok"},
                    {answer("r2", "zipped", "Content-Encoding: gzip\r\n")}});
   CHECK(fixture.call("r1").failure == routing::CallFailure::broken);
   CHECK(fixture.call("r2").failure == routing::CallFailure::broken);
 }
 
-TEST_CASE("an engine's own word that it did not run the request") {
+TEST_CASE("an engine's statement that it did not run the request is used") {
   Fixture fixture(
       {{"HTTP/1.1 503 Service Unavailable\r\nX-Madderdeck-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"},
        {"HTTP/1.1 421 Misdirected Request\r\nX-Madderdeck-Instance-Id: i-2\r\nContent-Length: 0\r\n\r\n"},
@@ -208,20 +208,20 @@
   CHECK(fixture.call("r2").failure == routing::CallFailure::leaving);
   const Outcome failed = fixture.call("r3");
   REQUIRE(failed.head);
-  CHECK(failed.head->status == 500);  // it ran: the answer is the caller's
+  CHECK(failed.head->status == 500);  // it ran: the answer is forwarded to the caller
   CHECK(failed.body == "oops");
 }
 
-TEST_CASE("a closed connection after sending tells nothing; none at all is not sent") {
+TEST_CASE("a connection closed after sending is ambiguous; without a connection the call fails as not sent") {
   Fixture fixture({{"", true}});
   CHECK(fixture.call("r1").failure == routing::CallFailure::broken);
   fixture.directory.address = kNobody;
   CHECK(fixture.call("r2").failure == routing::CallFailure::not_sent);
 }
 
-// A quiet day of a fleet of 70 gateways: 298 of 1,823 batch runs failed as "not sent", since a gateway's share of an
-// engine's connections was six and its slots are eight, and 189 sound engines were set aside as out of reach.
-TEST_CASE("a call beyond this node's share of connections is none that the engine failed") {
+// In a fleet of 70 gateways without faults, 298 of 1,823 batch runs failed as "not sent", since a gateway's share of an
+// engine's connections was six and its slots are eight; 189 healthy engines were ejected as unreachable.
+TEST_CASE("a call beyond this node's share of connections does not count as a failure of the engine") {
   Fixture fixture({{answer("a", "one")}});
   fixture.directory.share = 0;
   CHECK(fixture.call("a").failure == routing::CallFailure::refused);
--- a/tests/platform/ingress_test.cpp
+++ b/tests/platform/ingress_test.cpp
@@ -1,4 +1,5 @@
-/// Callers' requests through the adapter and a whole node: keys, tenants' names, what comes before the configuration.
+/// Callers' requests through the adapter and a complete node: keys, tenants' names, requests that arrive before the
+/// configuration.
 #include "ingress.hpp"
 
 #include <catch2/catch.hpp>
@@ -22,7 +23,7 @@
   void put(const object_store::PutRequest&, object_store::PutDone) override {}
 };
 
-/// Keeps what is sent to engines.
+/// Records the requests that are sent to engines.
 class kept_sends : public forwarding::Upstream {
  public:
   routing::CallId start(forwarding::UpstreamCall call, forwarding::UpstreamEvents /*events*/) override {
@@ -36,7 +37,7 @@
   std::vector<forwarding::UpstreamCall> calls;
 };
 
-/// A request whose answer the test reads.
+/// An exchange whose response the test reads.
 class kept_exchange : public net::Exchange {
  public:
   explicit kept_exchange(net::HttpRequest request) : request_(std::move(request)) {}
@@ -140,7 +141,7 @@
 
 }  // namespace
 
-TEST_CASE("a known key is served as its tenant, whatever the caller says it is") {
+TEST_CASE("a request with a known key is served as its tenant, whatever tenant the caller states") {
   ingress_fixture fixture;
   fixture.configure();
   CHECK(fixture.status("/a/1", {{"x-api-key", "key"}, {"X-Madderdeck-Tenant", "forged"}}) == 0);
@@ -149,7 +150,7 @@
   CHECK(fixture.upstream.calls[0].request->tenant_priority == 3);
 }
 
-TEST_CASE("unknown, missing and doubtful keys are refused before anything runs, on every kind of call") {
+TEST_CASE("unknown, missing and ambiguous keys are refused before anything runs, on every kind of call") {
   ingress_fixture fixture;
   fixture.configure();
   for (const char* target : {"/a/1", "/jobs/1", "/nowhere/", "/open/1"}) {
@@ -166,7 +167,7 @@
   CHECK(fixture.status("/nowhere/", kKnown) == 404);
 }
 
-TEST_CASE("a public route serves callers without a key, as nobody's") {
+TEST_CASE("a public route serves callers without a key, without a tenant") {
   ingress_fixture fixture;
   fixture.configure();
   CHECK(fixture.status("/open/1", {}) == 0);
@@ -174,7 +175,7 @@
   CHECK(fixture.upstream.calls[0].request->tenant.empty());
 }
 
-TEST_CASE("a withdrawn key is refused from its version on, a new one is served") {
+TEST_CASE("a removed key is refused from that configuration version on, a new one is served") {
   ingress_fixture fixture;
   fixture.configure("key");
   fixture.configure("next");
@@ -183,7 +184,7 @@
   CHECK(fixture.upstream.calls.size() == 1);
 }
 
-TEST_CASE("what comes before the configuration waits for it, and is told to come back where it does not come") {
+TEST_CASE("requests before the configuration wait for it, and get a retry delay if it does not arrive") {
   ingress_fixture fixture;
   const auto early = fixture.send("/a/1", kKnown);
   CHECK_FALSE(early->answer);
@@ -203,7 +204,7 @@
   CHECK_FALSE(left->answer);
 }
 
-TEST_CASE("a tenant beyond its rate gets 429 with the time to come back") {
+TEST_CASE("a tenant beyond its rate limit gets 429 with a retry delay") {
   ingress_fixture fixture;
   fixture.configure("key", 4);  // 21 in a window and a grant's time
   fixture.environment.world.run_for(5s);
@@ -219,7 +220,7 @@
   CHECK(refused == 9);
 }
 
-TEST_CASE("where the settings say so, keys that are older than they are trusted for are served nothing") {
+TEST_CASE("if the settings limit the age of keys, requests with older keys are refused") {
   node::NodeOptions closed = ingress_fixture::node_options();
   closed.key_trust = {5s, true};
   ingress_fixture fixture(closed);
@@ -236,7 +237,7 @@
   CHECK(open.status("/a/1", kKnown) == 0);
 }
 
-TEST_CASE("a request that is held back gets a failure that promises nothing and invites no return") {
+TEST_CASE("a quarantined request gets a failure that neither promises that it did not run nor has a retry delay") {
   const net::HttpResponse response = users_platform::refusal_response(
       {Error{ErrorKind::quarantined, "back ends ended"}, routing::Ran::no, Duration::zero()});
   CHECK(response.status == 502);
@@ -244,9 +245,9 @@
   CHECK(response.body.find("urn:madderdeck:error:quarantined") != std::string::npos);
 }
 
-// Callers whose jobs were refused sent them again and again, 976 times in one run; each was read, parsed and decoded
-// (2.6 MB) before it was refused, by nodes that had a third of a core for all their callers.
-TEST_CASE("a batch job that cannot be stored in time is refused by its head, with the time to come back") {
+// Callers sent refused jobs again, 976 times in one run; each job (2.6 MB) was read, parsed and decoded before it was
+// refused, by nodes that had a third of a core for all their callers.
+TEST_CASE("a batch job that cannot be stored before its deadline is refused by its head, with a retry delay") {
   ingress_fixture fixture;
   fixture.configure();
   net::Headers headers = kKnown;
@@ -256,7 +257,7 @@
     with_host.push_back({"Host", "h"});
     return fixture.ingress.answer_head(net::HttpRequest{method, target, with_host, ""});
   };
-  CHECK_FALSE(early("/jobs/1"));  // alone it may always be written
+  CHECK_FALSE(early("/jobs/1"));  // a job without others in progress may always be written
   REQUIRE(fixture.core.submissions.enter(1));
   const auto refused = early("/jobs/1");
   REQUIRE(refused);
--- a/tests/platform/store_client_test.cpp
+++ b/tests/platform/store_client_test.cpp
@@ -1,4 +1,4 @@
-/// A stand-in of the platform's store: lists in pages, watches, compare-and-set, lost history and answers.
+/// Tests the store client against a fake store: paged lists, watches, compare-and-set, lost history and lost answers.
 #include "store_client.hpp"
 
 #include "config/objects.hpp"
@@ -88,12 +88,12 @@
   const auto result = fixture.watch(0);
   REQUIRE(succeeded(result));
   CHECK(value_of(result).complete);
-  CHECK(value_of(result).up_to == 10);  // what changed between the pages comes again
+  CHECK(value_of(result).up_to == 10);  // changes between the pages are delivered again
   CHECK(value_of(result).entries.size() == 2);
   CHECK(fixture.requests.back() == "GET /objects/servers?since_rev=i-1");
 }
 
-TEST_CASE("a watch brings changes, and what is gone is later than what was known") {
+TEST_CASE("a watch delivers changes, and a deletion supersedes earlier versions") {
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest&) {
     return ok({{"events", json::array{json::object{{"gone", false}, {"object", server_object("i-1", 11, "draining")}},
@@ -108,8 +108,8 @@
   CHECK(value_of(result).entries.at(1).revision == 13);
 }
 
-TEST_CASE("what is gone and back within one answer is there") {
-  // Day platform-down-silent-lapse: engines that had lapsed and come back stayed unknown until the next list.
+TEST_CASE("an object that is deleted and created again within one answer exists") {
+  // Day platform-down-silent-lapse: engines whose entries expired and reappeared stayed unknown until the next list.
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest&) {
     const json::array events{json::object{{"object", server_object("one", 7)}, {"gone", true}},
@@ -128,7 +128,7 @@
   CHECK(table.find({config::kMachineKind, "two"}) == nullptr);
 }
 
-TEST_CASE("when the store has forgotten its history, the whole is listed") {
+TEST_CASE("if the store has lost its history, all objects are listed") {
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest& request) {
     return request.query("watch").empty()
@@ -141,7 +141,7 @@
   CHECK(value_of(result).up_to == 20);
 }
 
-TEST_CASE("an entry that cannot be read offers nothing; an answer that is none is a typed error") {
+TEST_CASE("an unreadable entry offers no engine; an unreadable answer is a typed error") {
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest&) {
     json::object bad{{"metadata", {{"name", "i-9"}, {"revision", 5}}}, {"spec", {{"service", 7}}}};
@@ -160,7 +160,7 @@
   }
 }
 
-TEST_CASE("a write states what it replaces, and each outcome is told apart") {
+TEST_CASE("a write states the revision that it replaces, and each outcome has its own error kind") {
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest&) { return ok({{"metadata", {{"revision", 8}}}}); };
   CHECK(value_of(fixture.put(0)) == 8);
@@ -175,10 +175,10 @@
   CHECK(outcome(409) == ErrorKind::conflict);
   CHECK(outcome(503) == ErrorKind::unavailable);
   CHECK(outcome(429) == ErrorKind::unavailable);
-  CHECK(outcome(0) == ErrorKind::ambiguous);  // the answer is lost: it may have been done
+  CHECK(outcome(0) == ErrorKind::ambiguous);  // the answer is lost: the write may have been made
 }
 
-TEST_CASE("the emptying of a node is reported in its status") {
+TEST_CASE("the draining of a node is reported in the status of its retirement") {
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest&) { return ok({}); };
   std::optional<Status> told;
@@ -189,7 +189,7 @@
   CHECK(json::parse(fixture.bodies.back()).at("status").at("state").as_string() == "completed");
 }
 
-TEST_CASE("a watch of retirements tells which nodes were emptied") {
+TEST_CASE("a watch of retirements shows which nodes are drained") {
   Fixture fixture;
   const auto retirement = [](const char* name, const json::object& status) {
     return json::object{{"metadata", {{"name", name}, {"revision", 9}}}, {"spec", json::object()}, {"status", status}};
@@ -236,9 +236,10 @@
   CHECK(value_of(*result).rejected.front().reason.detail.find("secret") == std::string::npos);
 }
 
-// Another writer may spoil an entry. One that could not be read stayed as it was before in a watch, and one without its
-// spec made the whole answer unreadable: nothing later was taken until it went.
-TEST_CASE("an entry that cannot be read names no engine to use, and the others of its answer are taken") {
+// Another writer may write a malformed entry. In a watch, the previous version of an unreadable entry stayed in use,
+// and an entry without a spec made the whole answer unreadable: no later change was applied until that entry was
+// removed.
+TEST_CASE("an unreadable entry offers no engine, and the other entries of its answer are applied") {
   Fixture fixture;
   const json::object no_spec{{"metadata", {{"name", "i-2"}, {"revision", 8}}}};
   const json::object other_type{{"metadata", {{"name", "i-3"}, {"revision", 9}}}, {"spec", "gibberish"}};
@@ -268,7 +269,7 @@
   }
 }
 
-TEST_CASE("an evacuation names its zone, whatever else it says") {
+TEST_CASE("an evacuation is read by its zone, whatever other fields it has") {
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest&) {
     const json::object zone{{"metadata", json::object{{"name", "hall-a"}, {"revision", 12}}},
@@ -288,8 +289,8 @@
   CHECK_FALSE(entry.deleted);
 }
 
-// A write that the store had taken was told as refused, with "status 200".
-TEST_CASE("a write whose answer came cut may have been done") {
+// A write that the store had accepted was reported as refused, with "status 200".
+TEST_CASE("a write whose answer is truncated is ambiguous") {
   Fixture fixture;
   const std::string whole = json::serialize(server_object("default", 8));
   for (std::size_t cut = 0; cut < whole.size(); ++cut) {
@@ -302,13 +303,13 @@
   }
 }
 
-TEST_CASE("a write at which the store failed may have been done") {
+TEST_CASE("a write that the store answers with a server error is ambiguous") {
   Fixture fixture;
   fixture.respond = [](const net::HttpRequest&) { return net::HttpResponse{502, "text/plain", {}, ""}; };
   CHECK(error_of(fixture.put(7)).kind == ErrorKind::ambiguous);
 }
 
-TEST_CASE("answers of the store without a length are read when they are whole, and are none when they are cut") {
+TEST_CASE("answers of the store without a length are read if complete and rejected if truncated") {
   const std::string body = json::serialize(json::object{{"events", json::array()}, {"at", 13}});
   for (std::size_t cut = 0; cut <= body.size(); ++cut) {
     bench::HttpSession http;
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -34,21 +34,21 @@
   CHECK(table.limits.max_body_bytes == 100);
 }
 
-TEST_CASE("a kind of route that is not known is not run twice") {
+TEST_CASE("requests of an unknown kind of route are not run twice") {
   const auto result = translate_configuration(object(
       R"({"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/","type":"odd","service":"s"}],"services":[]})"));
   REQUIRE(succeeded(result));
   CHECK_FALSE(value_of(result).routes.at(0).may_repeat());
 }
 
-TEST_CASE("what is no configuration or server is a typed error") {
+TEST_CASE("a malformed configuration or server entry is a typed error") {
   CHECK(error_of(translate_configuration(object("{}"))).kind == ErrorKind::invalid_argument);
   CHECK(error_of(translate_configuration(object(R"({"version":1,"routes":[{}],"services":[]})"))).kind ==
         ErrorKind::invalid_argument);
   CHECK(error_of(translate_server("i-1", object(R"({"service":7})"))).kind == ErrorKind::invalid_argument);
 }
 
-TEST_CASE("a server's entry becomes a back end with an address of its own") {
+TEST_CASE("a server's entry becomes a back end with its own address") {
   const auto result = translate_server(
       "i-1",
       object(R"({"service":"s1","address":"10.0.0.1:80","zone":"z","slots":19,"state":"draining","stage":"dual"})"));
@@ -59,7 +59,7 @@
   CHECK(value_of(result).target == config::Target::model);
 }
 
-TEST_CASE("headers of one connection stay there, all others are passed on") {
+TEST_CASE("hop-by-hop headers are removed, all others are forwarded") {
   const net::Headers passed = end_to_end({{"Connection", "keep-alive, X-Hop"},
                                           {"X-Hop", "1"},
                                           {"Transfer-Encoding", "chunked"},
@@ -71,7 +71,7 @@
   CHECK(passed[1].value == "3");
 }
 
-TEST_CASE("a request is read with its prompt, and its send states what is left") {
+TEST_CASE("a request is parsed with its prompt, and the forwarded request states the remaining time") {
   net::HttpRequest request;
   request.method = "POST";
   request.target = "/a/1?q=2";
@@ -95,14 +95,14 @@
   CHECK(net::find_header(headers, "Host") == "h");
 }
 
-TEST_CASE("a request without id or with a deadline that is no number is refused by type") {
+TEST_CASE("a request without an id or with a deadline that is not a number is a typed error") {
   net::HttpRequest request;
   CHECK(error_of(forwarded_request(request)).kind == ErrorKind::invalid_argument);
   request.headers = {{"X-Madderdeck-Request-Id", "r"}, {"X-Madderdeck-Deadline-Ms", "soon"}};
   CHECK(error_of(forwarded_request(request)).kind == ErrorKind::invalid_argument);
 }
 
-TEST_CASE("only what has not run is promised not to, with a time to come back") {
+TEST_CASE("only requests that have not run get a status that says so, with a retry delay") {
   const Error error{ErrorKind::unavailable, ""};
   const auto promise = refusal_response({error, routing::Ran::no, 300ms});
   CHECK(promise.status == 503);
@@ -111,7 +111,7 @@
   CHECK(refusal_response({{ErrorKind::deadline_exceeded, ""}, routing::Ran::unknown, {}}).status == 504);
 }
 
-TEST_CASE("tenants come with their keys, rates and ranks, and survive the way from node to node") {
+TEST_CASE("tenants have their keys, rates and ranks after translation and after transfer between nodes") {
   const auto result = translate_configuration(object(R"({
     "version": 9, "routes": [{"name":"r","host":"h","path_prefix":"/","type":"safe","service":"s","public":true}],
     "services": [], "tenants": [{"name":"t1","api_keys":["k1","k2"],"priority":1,"rate_per_s":2.5,"burst":7},
@@ -127,7 +127,7 @@
   CHECK_FALSE(table.tenants.find("t2")->rate.limited());
 }
 
-TEST_CASE("a configuration whose tenants are malformed is refused as a whole") {
+TEST_CASE("a configuration with malformed tenants is rejected entirely") {
   for (const char* tenants :
        {R"([{"name":"a","api_keys":["k"]},{"name":"b","api_keys":["k"]}])", R"([{"name":"a","api_keys":[""]}])",
         R"([{"api_keys":["k"]}])", R"([{"name":"a","api_keys":[7]}])",
@@ -139,7 +139,7 @@
   }
 }
 
-TEST_CASE("the key stays here and the tenant's name goes on, whatever the caller sent") {
+TEST_CASE("the key is not forwarded and the tenant's name is, whatever the caller sent") {
   net::HttpRequest request;
   request.headers = {{"X-Madderdeck-Request-Id", "r1"},      {"x-api-KEY", "secret"}, {"X-Madderdeck-Tenant", "forged"},
                      {"x-madderdeck-tenant", "forged, too"}, {"X-Api-Key", "secret"}, {"X-Other", "1"}};
@@ -160,7 +160,7 @@
   CHECK(net::find_header(headers, "X-Other") == "1");
 }
 
-TEST_CASE("one key, sent once or more often, is read; several different ones name nobody") {
+TEST_CASE("one key, sent once or repeatedly, is read; several different keys identify no tenant") {
   net::HttpRequest request;
   CHECK_FALSE(credentials_of(request).key.has_value());
   request.headers = {{"X-API-KEY", "k1"}, {"x-api-key", "k1"}};
@@ -170,8 +170,8 @@
   CHECK(credentials_of(request).ambiguous);
 }
 
-// Another writer may spoil an entry: it names no engine to use, and nothing of it may be taken for a value.
-TEST_CASE("an entry with a field missing or of another type, or of a state that is not known, is a typed error") {
+// Another writer may write a malformed entry: it must offer no engine, and none of its fields may be used.
+TEST_CASE("an entry with a missing field, a field of another type or an unknown state is a typed error") {
   const auto whole = object(R"({"service":"s1","address":"10.0.0.1:80","zone":"z","slots":19,"state":"ready",
     "stage":"dual","born":1796259537142,"call_seq":3})");
   REQUIRE(succeeded(translate_server("i-1", whole)));
@@ -198,7 +198,7 @@
 }
 
 TEST_CASE(
-    "how an engine warms up is kept on its way from node to node, and a spoiled figure does not spoil the entry") {
+    "an engine's warm-up time is kept in transfers between nodes, and a malformed one does not invalidate the entry") {
   const auto server = [](const json::value& left) {
     json::object spec = json::parse(R"({"service":"s","address":"10.0.0.9:8080","zone":"z","slots":8,"state":"ready",
         "stage":"dual"})")
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -49,7 +49,7 @@
   REQUIRE_FALSE(wire::decode_record<wire::JobRecordT>(std::string("nonsense")).has_value());
 }
 
-// While versions run side by side a later one sends kinds of message that this one does not know.
+// While two versions run side by side, the later one sends kinds of messages that the earlier one does not know.
 TEST_CASE("a message of an unknown kind does not take the others of its frame along") {
   flatbuffers::FlatBufferBuilder builder;
   const auto sender = builder.CreateString("127.0.0.1:7000");
--- a/tests/wire/corpus_fuzz_test.cpp
+++ b/tests/wire/corpus_fuzz_test.cpp
@@ -1,6 +1,6 @@
-/// What comes from a node of another version may lack fields or have kinds that are not known here; what comes over a
-/// broken wire may be cut or have other bytes. Each is a typed error, or counted, or taken for what it says: a node
-/// goes on, and never drops the rest of a frame for a kind that it does not know. The frames are those of the corpus.
+/// Messages from a node of another version may lack fields or have unknown kinds; frames from a faulty network may be
+/// truncated or have changed bytes. Each gives a typed error, is counted, or is handled by its content: the node
+/// continues, and never drops the rest of a frame because of an unknown kind. The frames are those of the corpus.
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
 
@@ -26,7 +26,7 @@
   return all;
 }
 
-/// A store that answers nothing.
+/// A platform client that never answers.
 class silent_store : public object_store::PlatformClient {
  public:
   void watch_objects(std::uint64_t, Duration, object_store::ChangesDone) override {}
@@ -35,7 +35,7 @@
   void put(const object_store::PutRequest&, object_store::PutDone) override {}
 };
 
-/// One node with all roles and a disk.
+/// A single node with all roles and a disk.
 struct node_fixture {
   node_fixture() : storage(environment.world, process), core(dependencies(), options()) {
     process.start();
@@ -53,8 +53,8 @@
     options.policies.shared_calls = true;
     return options;
   }
-  /// Handles what the bytes bring.
-  /// @return whether they were a frame.
+  /// Decodes @p bytes as a frame and handles its messages.
+  /// @return whether the bytes were a valid frame.
   bool receive(const std::string& bytes) {
     const auto decoded = wire::decode_frame(bytes);
     if (!succeeded(decoded)) {
@@ -76,7 +76,7 @@
   node::NodeCore core;
 };
 
-/// Takes one field out of @p value, somewhere within it. Kinds stay: a message of no kind is no message.
+/// Removes one field at any depth of @p value. Fields with the kind of a message stay, since a message needs one.
 void remove_a_field(json::value& value) {
   if (value.is_array() && !value.as_array().empty()) {
     json::array& list = value.as_array();
@@ -88,7 +88,8 @@
   json::object& fields = value.as_object();
   auto field = fields.begin() + *rc::gen::inRange<std::ptrdiff_t>(0, static_cast<std::ptrdiff_t>(fields.size()));
   const bool kind = field->key() == "body_type" || field->key() == "body";
-  const bool ballot = field->value().is_object() && field->value().as_object().contains("proposer");  // whole or not
+  const bool ballot = field->value().is_object() && field->value().as_object().contains(
+                                                        "proposer");  // a ballot is kept complete or removed completely
   const bool deeper = (field->value().is_object() && !ballot) || field->value().is_array();
   if (kind || (deeper && *rc::gen::inRange(0, 4) > 0)) {
     remove_a_field(field->value());
@@ -97,7 +98,7 @@
   }
 }
 
-/// @return @p messages in one frame, with those that @p unknown names of a kind that nobody knows.
+/// @return @p messages in one frame, in which those that @p unknown names have an unknown kind.
 std::string frame_with_unknown(const std::vector<wire::Incoming>& messages, const std::vector<bool>& unknown) {
   flatbuffers::FlatBufferBuilder builder;
   std::vector<flatbuffers::Offset<wire::Envelope>> envelopes;
@@ -112,7 +113,7 @@
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-/// @return what the messages of @p version say, without some fields.
+/// @return the messages of @p version without some of their fields.
 json::value values_without_fields(const corpus_version& version) {
   json::array envelopes(version.messages.begin(), version.messages.end());
   json::value frame = json::object{{"envelopes", std::move(envelopes)}};
@@ -131,7 +132,7 @@
 
 const corpus_version& any_version() { return corpus()[*rc::gen::inRange<std::size_t>(0, corpus().size())]; }
 
-/// @return @p bytes with some flipped, and cut.
+/// @return @p bytes with some of them changed, and truncated.
 std::string damaged(std::string bytes) {
   const unsigned flips = *rc::gen::inRange(0U, kMostDamaged);
   for (unsigned count = 0; count < flips; ++count) {
@@ -186,7 +187,7 @@
     const auto frame = schema.write("Frame", values);
     RC_PRE(frame.has_value());
     node_fixture node;
-    // Whose sender nobody can tell is no frame; anything else may be left out.
+    // A message without a sender makes the frame invalid; any other field may be missing.
     RC_ASSERT(node.receive(*frame) == all_have_senders(values));
     frames += all_have_senders(values) ? 1 : 0;
     node.environment.world.run_for(100ms);
@@ -207,7 +208,7 @@
     node.receive(bytes);
     node.environment.world.run_for(100ms);
   });
-  CHECK(taken > 0);  // otherwise no node was shown what a damaged frame brings
+  CHECK(taken > 0);  // otherwise no node has handled a damaged frame
 }
 
 TEST_CASE("records that are cut, have other bytes or lack fields are read or refused") {
--- a/tests/wire/corpus_test.cpp
+++ b/tests/wire/corpus_test.cpp
@@ -1,6 +1,7 @@
-/// Nodes of two versions run side by side, and a node finds on its disk what an earlier version wrote. The corpus holds
-/// a message and a record of each kind as the program of each earlier version encoded it, with the values that went in.
-/// Today's code has to read each value as it was written, and today's schema must not take back what earlier ones said.
+/// Nodes of two versions run side by side, and a node reads records on its disk that an earlier version wrote. The
+/// corpus holds a message and a record of each kind as each earlier version encoded it, with the values that were
+/// encoded. The current code must read each value as written, and the current schema must stay compatible with earlier
+/// ones.
 #include <catch2/catch.hpp>
 
 #include "config/objects.hpp"
@@ -17,7 +18,7 @@
 
 wire_schema todays_schema() { return wire_schema(read_whole_file(kTodaysSchema)); }
 
-/// @return @p text with the first @p before replaced. Fails where there is none: nothing would be tried.
+/// @return @p text with the first @p before replaced. Fails if there is none, since the test would check nothing.
 std::string spoiled(std::string text, const std::string& before, const std::string& after) {
   const std::size_t position = text.find(before);
   if (position == std::string::npos) {
@@ -98,7 +99,7 @@
   }
 }
 
-TEST_CASE("today's schema only adds to what earlier versions said") {
+TEST_CASE("the current schema only adds to earlier schemas") {
   const wire_schema today = todays_schema();
   for (const corpus_version& version : read_corpus()) {
     INFO(version.commit);
@@ -106,13 +107,13 @@
   }
 }
 
-TEST_CASE("the code that was generated knows the kinds of today's schema by their numbers") {
+TEST_CASE("the generated code has the message kinds of the current schema with the same numbers") {
   for (const auto& [number, name] : todays_schema().kinds()) {
     CHECK(wire::EnumNameMessage(static_cast<wire::Message>(number)) == name);
   }
 }
 
-TEST_CASE("a schema that takes something back is noticed") {
+TEST_CASE("an incompatible schema change is detected") {
   struct spoiling {
     const char* before;
     const char* after;
@@ -151,7 +152,7 @@
   }
 }
 
-TEST_CASE("a schema that adds at the end is no breach") {
+TEST_CASE("additions at the end of a schema are compatible") {
   const std::string today = read_whole_file(kTodaysSchema);
   std::string later =
       spoiled(today, "{ sequence:ulong; target:string; }", "{ sequence:ulong; target:string; more:uint; }");
--- a/tests/wire/wire_corpus.hpp
+++ b/tests/wire/wire_corpus.hpp
@@ -13,7 +13,7 @@
 
 namespace madderdeck::tests {
 
-/// What the program of one commit wrote.
+/// Frame, records and entries that the program of one commit wrote.
 struct corpus_version {
   struct record {
     std::string type;
@@ -22,14 +22,14 @@
   };
 
   std::string commit;
-  std::string schema;                         ///< Text of its messages.fbs.
-  std::string frame;                          ///< A message of each kind.
-  std::vector<boost::json::object> messages;  ///< What these say, in their order: sender, body_type, body.
+  std::string schema;                         ///< Text of the commit's messages.fbs.
+  std::string frame;                          ///< One frame with a message of each kind.
+  std::vector<boost::json::object> messages;  ///< The values of these messages, in order: sender, body_type, body.
   std::vector<record> records;
   std::vector<std::pair<std::string, std::string>> entries;  ///< Kind and body of an entry in a list.
 };
 
-/// @return what today's code has read from @p bytes; null where it could not.
+/// @return the values that the current code reads from @p bytes; null if it cannot read them.
 template <class Record>
 boost::json::value reread(wire_schema& schema, const std::string& type, const wire::Bytes& bytes) {
   const auto record = wire::decode_record<Record>(bytes);
@@ -38,7 +38,7 @@
 
 using rereader = boost::json::value (*)(wire_schema&, const std::string&, const wire::Bytes&);
 
-/// Every type that is stored: on disks, in the ledger, or within a message as bytes.
+/// All record types that are stored on disks, in the ledger, or as bytes within a message.
 inline const std::map<std::string, rereader>& stored_types() {
   static const std::map<std::string, rereader> all = {
       {"ClaimRecord", reread<wire::ClaimRecordT>},    {"JobRecord", reread<wire::JobRecordT>},
@@ -50,12 +50,12 @@
   return all;
 }
 
-/// @return what today's code has read from @p bytes as a record of @p type; null where it refuses them.
+/// @return the values that the current code reads from @p bytes as a record of @p type; null if it rejects them.
 inline boost::json::value reread_record(wire_schema& schema, const std::string& type, const wire::Bytes& bytes) {
   return stored_types().at(type)(schema, type, bytes);
 }
 
-/// @return all versions of the corpus, by their commits. Throws std::runtime_error where a file is missing.
+/// @return all versions of the corpus, by their commits. Throws std::runtime_error if a file is missing.
 inline std::vector<corpus_version> read_corpus() {
   const auto lines_of = [](const std::string& path) {
     std::vector<std::string> lines;
--- a/tests/wire/wire_schema.hpp
+++ b/tests/wire/wire_schema.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// @file A schema of messages and records as text: what bytes say by it, and whether a later one can follow it.
+/// @file A schema of messages and records in text form: decodes bytes with it and checks the compatibility of a later
+/// schema.
 
 #include <flatbuffers/idl.h>
 
@@ -24,7 +25,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// A parsed schema. Throws std::runtime_error where its text is none.
+/// A parsed schema. Throws std::runtime_error if its text is not a valid schema.
 class wire_schema {
  public:
   explicit wire_schema(const std::string& text) {
@@ -35,7 +36,7 @@
     }
   }
 
-  /// @return what @p bytes say, read as a table of @p type; null where they hold what text cannot say.
+  /// @return the values of @p bytes, read as a table of @p type; null if they have values that text cannot represent.
   boost::json::value read(const std::string& type, const wire::Bytes& bytes) {
     set_root(type);
     std::string text;
@@ -44,7 +45,7 @@
     }
     return boost::json::parse(text);
   }
-  /// @return @p values as a table of @p type; nothing where the schema does not allow them.
+  /// @return @p values encoded as a table of @p type; nothing if the schema does not allow them.
   std::optional<std::string> write(const std::string& type, const boost::json::value& values) {
     set_root(type);
     if (!parser_.Parse(boost::json::serialize(values).c_str())) {
@@ -73,8 +74,8 @@
   flatbuffers::Parser parser_;
 };
 
-/// What a later schema may not do to an earlier one: fields are only added at the end of a table, values only at the
-/// end of an enumeration or union; nothing is removed, renamed, renumbered or of another type or default.
+/// Checks a later schema against an earlier one: fields may only be added at the end of a table, values only at the
+/// end of an enumeration or union; nothing may be removed, renamed, renumbered or get another type or default.
 class schema_comparison {
  public:
   schema_comparison(const wire_schema& earlier, const wire_schema& later)
@@ -86,7 +87,7 @@
       compare(*type);
     }
   }
-  /// @return one line for each breach.
+  /// @return one line for each incompatible change.
   const std::vector<std::string>& breaches() const { return breaches_; }
 
  private:
