--- a/src/cli/group_rows.cpp
+++ b/src/cli/group_rows.cpp
@@ -11,18 +11,19 @@
 /// @return the columns of a row that describe one member; nodes of earlier versions report fewer.
 json::object describe_member(const json::value& member) {
   constexpr std::int64_t kMillisecondsPerSecond = 1000;
-  const json::object& told = member.as_object();
-  json::object row{{"member", plain(told.at("node")) + "/" + plain(told.at("disk"))}, {"state", told.at("state")}};
-  if (const json::value* held = told.if_contains("state_for_ms")) {
+  const json::object& reported = member.as_object();
+  json::object row{{"member", plain(reported.at("node")) + "/" + plain(reported.at("disk"))},
+                   {"state", reported.at("state")}};
+  if (const json::value* held = reported.if_contains("state_for_ms")) {
     row["for_s"] = held->to_number<std::int64_t>() / kMillisecondsPerSecond;
   }
-  if (const json::value* why = told.if_contains("why")) {
+  if (const json::value* why = reported.if_contains("why")) {
     row["why"] = *why;
   }
-  if (const json::value* heard = told.if_contains("heard_ms_ago")) {
+  if (const json::value* heard = reported.if_contains("heard_ms_ago")) {
     row["heard_s_ago"] = heard->to_number<std::int64_t>() / kMillisecondsPerSecond;
   }
-  if (const json::value* address = told.if_contains("address")) {
+  if (const json::value* address = reported.if_contains("address")) {
     row["address"] = *address;
   }
   return row;
@@ -39,8 +40,8 @@
 table_rows member_rows(const json::value& status) {
   json::array rows;
   for (const json::value& group : groups_of(status)) {
-    const bool tells_count = group.as_object().contains("counting");
-    const std::string votes = tells_count ? plain(group.at("counting")) + "/" + plain(group.at("needed")) : "";
+    const bool has_vote_count = group.as_object().contains("counting");
+    const std::string votes = has_vote_count ? plain(group.at("counting")) + "/" + plain(group.at("needed")) : "";
     bool first = true;
     for (const json::value& member : group.at("members").as_array()) {
       json::object row = describe_member(member);
--- a/src/cli/object_commands.cpp
+++ b/src/cli/object_commands.cpp
@@ -41,21 +41,21 @@
 }
 
 /// An object as currently declared in the fleet; revision 0 if it does not exist.
-struct Standing {
+struct DeclaredObject {
   std::uint64_t revision = 0;
   json::value body;
 };
 
-Result<Standing> standing_object(FleetClient& fleet, const std::string& kind, const std::string& name) {
+Result<DeclaredObject> declared_object(FleetClient& fleet, const std::string& kind, const std::string& name) {
   const auto response = fleet.call("GET", path_of(kind, name));
   if (!succeeded(response)) {
     if (error_of(response).kind == ErrorKind::not_found) {
-      return Standing{};
+      return DeclaredObject{};
     }
     return error_of(response);
   }
   const json::value value = json::parse(value_of(response).body);
-  return Standing{value.at("revision").to_number<std::uint64_t>(), value.at("body")};
+  return DeclaredObject{value.at("revision").to_number<std::uint64_t>(), value.at("body")};
 }
 
 /// Waits until every member of the fleet has applied @p revision.
@@ -97,7 +97,7 @@
     const std::string name = plain(object.at("name"));
     std::string label = kind;
     label.append(" ").append(name);
-    auto standing = standing_object(context.fleet, kind, name);
+    auto standing = declared_object(context.fleet, kind, name);
     if (!succeeded(standing)) {
       return error_of(standing);
     }
@@ -134,7 +134,7 @@
   for (const json::value& object : value_of(objects)) {
     const std::string kind = plain(object.at("kind"));
     const std::string name = plain(object.at("name"));
-    auto standing = standing_object(context.fleet, kind, name);
+    auto standing = declared_object(context.fleet, kind, name);
     if (!succeeded(standing)) {
       return error_of(standing);
     }
@@ -180,7 +180,7 @@
   if (context.arguments.size() != 2) {
     return Error{ErrorKind::invalid_argument, "delete requires KIND and NAME"};
   }
-  auto standing = standing_object(context.fleet, context.arguments[0], context.arguments[1]);
+  auto standing = declared_object(context.fleet, context.arguments[0], context.arguments[1]);
   if (!succeeded(standing)) {
     return error_of(standing);
   }
--- a/src/net/http_backend_client.cpp
+++ b/src/net/http_backend_client.cpp
@@ -11,7 +11,7 @@
 using routing::CallFailure;
 
 constexpr unsigned kOk = 200;
-constexpr std::chrono::milliseconds kEngineSilence{15'000};  ///< Longest wait for the next token.
+constexpr std::chrono::milliseconds kEngineIdleTimeout{15'000};  ///< Longest wait for the next token.
 constexpr std::chrono::milliseconds kReportTimeout{1000};
 
 CallFailure failure_of(CallBreak reason) {
@@ -137,7 +137,7 @@
   };
   call_events.failed = [stream](CallBreak reason) { stream->events.failed(failure_of(reason)); };
   ClientCallOptions options;
-  options.idle_timeout = kEngineSilence;
+  options.idle_timeout = kEngineIdleTimeout;
   return client_.start(engine.str(), std::move(request), std::move(call_events), options);
 }
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -35,11 +35,11 @@
 constexpr std::size_t kWriteFirstBytes = 16 * 1024;  ///< Longer bodies are written while reading the response.
 constexpr std::size_t kMaxStrayResponses = 4;        ///< Max number that is skipped on one connection.
 /// A reply from another zone takes a few milliseconds.
-constexpr std::chrono::milliseconds kLifeSignTimeout{250};
+constexpr std::chrono::milliseconds kLivenessTimeout{250};
 /// While a process terminates, its address accepts connections until the kernel closes the listening socket, and then
 /// resets them.
-constexpr std::chrono::milliseconds kLifeSignPause{5};
-constexpr unsigned kMostLifeSigns = 10;
+constexpr std::chrono::milliseconds kLivenessRetryDelay{5};
+constexpr unsigned kMaxLivenessRequests = 10;
 
 struct Call {
   explicit Call(asio::io_context& context) : wakeup(context) {}
@@ -72,7 +72,7 @@
 
 /// Sets TCP options that break the connection when the peer is unresponsive for about three seconds, whether or not
 /// bytes are in transit to it.
-void bound_silence(tcp::socket& socket) {
+void set_unresponsive_timeout(tcp::socket& socket) {
   const int enabled = 1;
   const int seconds = 1;
   const int probes = 2;
@@ -156,7 +156,7 @@
     if (!failure) {
       beast::error_code ignored;
       call.stream->socket().set_option(tcp::no_delay(true), ignored);
-      bound_silence(call.stream->socket());
+      set_unresponsive_timeout(call.stream->socket());
     }
     co_return !failure;
   }
@@ -171,46 +171,46 @@
   }
 
   /// Result of a liveness request to a peer.
-  enum class Life { answers, refuses, silent, breaks };
+  enum class PeerLiveness { answers, refuses, silent, breaks };
 
   /// @return whether the peer was expected to keep running and now refuses connections. A peer that does not respond
   ///         may still be running, and so may one that breaks each connection because it has too many.
   /// The check is skipped (false) if the call has no liveness request.
-  asio::awaitable<bool> peer_has_ended(Call& call) {
-    if (!call.options.life_sign || (call.options.peer_goes_on && !call.options.peer_goes_on())) {
+  asio::awaitable<bool> peer_has_terminated(Call& call) {
+    if (!call.options.liveness_request || (call.options.peer_keeps_running && !call.options.peer_keeps_running())) {
       co_return false;
     }
-    for (unsigned asked = 0; asked < kMostLifeSigns; ++asked) {
-      const Life life = co_await ask_for_life(call.endpoint, *call.options.life_sign);
-      if (life != Life::breaks) {
-        co_return life == Life::refuses;
+    for (unsigned asked = 0; asked < kMaxLivenessRequests; ++asked) {
+      const PeerLiveness liveness = co_await check_liveness(call.endpoint, *call.options.liveness_request);
+      if (liveness != PeerLiveness::breaks) {
+        co_return liveness == PeerLiveness::refuses;
       }
-      asio::steady_timer pause(context, kLifeSignPause);
+      asio::steady_timer pause(context, kLivenessRetryDelay);
       co_await pause.async_wait(kAwait);
     }
     co_return false;
   }
 
-  asio::awaitable<Life> ask_for_life(const std::string& endpoint, const HttpRequest& request) {
+  asio::awaitable<PeerLiveness> check_liveness(const std::string& endpoint, const HttpRequest& request) {
     beast::tcp_stream stream(context);
-    const beast::error_code failure = co_await open(stream, endpoint, kLifeSignTimeout);
+    const beast::error_code failure = co_await open(stream, endpoint, kLivenessTimeout);
     if (failure) {
-      co_return failure == asio::error::connection_refused ? Life::refuses : life_of(failure);
+      co_return failure == asio::error::connection_refused ? PeerLiveness::refuses : liveness_of(failure);
     }
     http::request<http::string_body> message = message_of(request, endpoint);
-    stream.expires_after(kLifeSignTimeout);
+    stream.expires_after(kLivenessTimeout);
     auto [write_failure, written] = co_await http::async_write(stream, message, kAwait);
     if (write_failure) {
-      co_return life_of(write_failure);
+      co_return liveness_of(write_failure);
     }
     beast::flat_buffer buffer;
     http::response_parser<http::buffer_body> parser;
     auto [read_failure, count] = co_await http::async_read_header(stream, buffer, parser, kAwait);
-    co_return read_failure ? life_of(read_failure) : Life::answers;
+    co_return read_failure ? liveness_of(read_failure) : PeerLiveness::answers;
   }
 
-  static Life life_of(beast::error_code failure) {
-    return failure == beast::error::timeout ? Life::silent : Life::breaks;
+  static PeerLiveness liveness_of(beast::error_code failure) {
+    return failure == beast::error::timeout ? PeerLiveness::silent : PeerLiveness::breaks;
   }
 
   bool take_pooled(Call& call) {
@@ -220,7 +220,7 @@
       Pooled candidate = std::move(idle.back());
       idle.pop_back();
       const auto rested = now - candidate.since;
-      const bool young = rested < candidate.keep_alive - kKeepAliveMargin && rested < call.options.reuse_within;
+      const bool young = rested < candidate.keep_alive - kKeepAliveMargin && rested < call.options.max_reuse_idle;
       if (young && still_open(*candidate.stream)) {
         call.stream = std::move(candidate.stream);
         return true;
@@ -229,7 +229,7 @@
     return false;
   }
 
-  void give_back(Call& call, std::chrono::milliseconds keep_alive) {
+  void return_to_pool(Call& call, std::chrono::milliseconds keep_alive) {
     auto& idle = pool[call.endpoint].idle;
     const bool useful = keep_alive > kKeepAliveMargin;
     if (useful && idle.size() < kPooledPerEndpoint) {
@@ -309,7 +309,7 @@
     if (call->cancelled) {
       co_return;
     }
-    if (call->options.still_wanted && !call->options.still_wanted()) {
+    if (call->options.may_still_send && !call->options.may_still_send()) {
       fail(number, *call, CallBreak::connect_failed);
       co_return;
     }
@@ -388,7 +388,7 @@
     if (call->cancelled) {
       co_return ReadOutcome::ended;
     }
-    if (belongs && head.framing == body_framing::until_close && co_await peer_has_ended(*call)) {
+    if (belongs && head.framing == body_framing::until_close && co_await peer_has_terminated(*call)) {
       fail(number, *call, CallBreak::closed);
       co_return ReadOutcome::ended;
     }
@@ -406,7 +406,7 @@
     release_connection(*call);
     // Bytes after a complete response belong to no request, so the connection is not reused.
     if (parser.get().keep_alive() && buffer.size() == 0 && call->written) {
-      give_back(*call, keep_alive_of(head.headers));
+      return_to_pool(*call, keep_alive_of(head.headers));
     } else {
       call->stream->close();
     }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -42,7 +42,7 @@
   std::chrono::milliseconds idle_timeout{60'000};  ///< Max time between two reads of bytes.
   bool fresh_connection = false;                   ///< Never reuse a connection, since it may be half closed.
   /// Max idle time of a pooled connection that is reused.
-  std::chrono::milliseconds reuse_within{3'600'000};
+  std::chrono::milliseconds max_reuse_idle{3'600'000};
   /// Max open connections to the endpoint, in use and pooled; a call that would need one more is not sent.
   std::size_t max_connections = 10'000;
   /// For fetch(): whether a response may have no framing and end with its connection. A truncated one looks the same,
@@ -50,13 +50,13 @@
   bool may_end_with_connection = false;
   /// Liveness request, sent when a response has ended with its connection: any answer shows that the peer's process did
   /// not terminate with it. If the peer refuses connections, the call fails as closed. Empty: no check.
-  std::optional<HttpRequest> life_sign;
+  std::optional<HttpRequest> liveness_request;
   /// Called before the liveness request: whether the peer is expected to keep running. A peer that is shutting down may
   /// terminate right after its last response, so it is not checked.
-  std::function<bool()> peer_goes_on;
+  std::function<bool()> peer_keeps_running;
   /// Called once there is a connection, right before the request is sent: if it returns false, the call fails as not
   /// sent. Empty: the request is always sent.
-  std::function<bool()> still_wanted;
+  std::function<bool()> may_still_send;
   /// Returns whether a response belongs to this call. Others, which a faulty peer left on a
   /// kept-alive connection, are skipped. Empty: every response belongs to it.
   std::function<bool(unsigned status, const Headers& headers)> belongs;
--- a/src/net/http_platform_client.cpp
+++ b/src/net/http_platform_client.cpp
@@ -17,7 +17,7 @@
   return entry;
 }
 
-Error unusable(const std::string& what) { return Error{ErrorKind::corrupted, "platform answer: " + what}; }
+Error malformed_answer(const std::string& what) { return Error{ErrorKind::corrupted, "platform answer: " + what}; }
 
 /// @return options of a call whose answer is a JSON document: a truncated one does not parse, so no framing is needed.
 ClientCallOptions document_options() {
@@ -32,7 +32,7 @@
   try {
     return parse(json::parse(body).as_object());
   } catch (const std::exception& failure) {
-    return unusable(failure.what());
+    return malformed_answer(failure.what());
   }
 }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -90,7 +90,7 @@
   }
 
   /// Called when the connection broke: notifies the handler once, unless its response has ended.
-  void report_gone() {
+  void notify_disconnected() {
     std::function<void()> hook;
     std::swap(hook, caller_gone);
     const bool ended = finished && pending.empty();
@@ -290,7 +290,7 @@
         auto [failure, bytes] = co_await http::async_read_some(stream_, buffer_, parser, kAwait);
         if (failure && failure != http::error::need_buffer) {
           server_->counters["http_bodies_broken_total"]++;
-          exchange.report_gone();
+          exchange.notify_disconnected();
           co_return false;
         }
       }
@@ -326,7 +326,7 @@
       const auto received = ::recv(self->stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
       const bool closed = failure || received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
       if (closed) {
-        watched->report_gone();
+        watched->notify_disconnected();
       }
     });
   }
@@ -382,7 +382,7 @@
     stream_.expires_after(server_->options.write_timeout);
     auto [failure, bytes] = co_await http::async_write_header(stream_, serializer, kAwait);
     if (failure) {
-      exchange.report_gone();
+      exchange.notify_disconnected();
     }
     while (!exchange.gone) {
       if (exchange.pending.empty()) {
@@ -405,7 +405,7 @@
       }
       if (write_failure) {
         server_->counters["http_slow_readers_total"] += write_failure == beast::error::timeout ? 1 : 0;
-        exchange.report_gone();
+        exchange.notify_disconnected();
         break;
       }
       if (exchange.backlog_gone && exchange.pending.empty()) {
--- a/tests/platform/broken_off_answers_test.cpp
+++ b/tests/platform/broken_off_answers_test.cpp
@@ -29,7 +29,7 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kFirstServerError = 500;
 /// Max time that a caller waits in a test; not a limit that the product guarantees.
-constexpr std::chrono::seconds kTestPatience{10};
+constexpr std::chrono::seconds kTestTimeout{10};
 
 /// Kinds of routes that the table test covers.
 enum class answer_kind { stream, resumable_stream, repeatable, unrepeatable };
@@ -42,7 +42,9 @@
 const std::vector<std::string> kPlain = {"{\"slots\":[1,2,", "3],\"more\":false}"};
 
 bool is_stream(answer_kind kind) { return kind == answer_kind::stream || kind == answer_kind::resumable_stream; }
-bool may_go_on(answer_kind kind) { return kind == answer_kind::resumable_stream || kind == answer_kind::repeatable; }
+bool may_retry_elsewhere(answer_kind kind) {
+  return kind == answer_kind::resumable_stream || kind == answer_kind::repeatable;
+}
 const char* name_of(answer_kind kind) {
   switch (kind) {
     case answer_kind::stream:
@@ -161,9 +163,9 @@
       route.host = "h";
       route.path_prefix = std::string("/") + name_of(kind) + "/";
       route.pools.push_back({"p", 1});
-      route.kind = is_stream(kind)
-                       ? forwarding::RouteKind::stream
-                       : (may_go_on(kind) ? forwarding::RouteKind::repeatable : forwarding::RouteKind::unrepeatable);
+      route.kind = is_stream(kind) ? forwarding::RouteKind::stream
+                                   : (may_retry_elsewhere(kind) ? forwarding::RouteKind::repeatable
+                                                                : forwarding::RouteKind::unrepeatable);
       route.resumable = kind == answer_kind::resumable_stream;
       route.max_attempts = 3;
       route.timeout_ms = 250;
@@ -200,7 +202,7 @@
 
   caller_answer call(const std::string& bytes) {
     const auto answer = tests::call_raw(context, kEntry, bytes);
-    const auto until = std::chrono::steady_clock::now() + kTestPatience;
+    const auto until = std::chrono::steady_clock::now() + kTestTimeout;
     while (!answer->ended && std::chrono::steady_clock::now() < until) {
       context.run_one_for(std::chrono::milliseconds(100));
     }
@@ -246,7 +248,7 @@
     return {true, all.substr(0, body)};
   }
   // An unresponsive engine uses up the request's time, so there is no retry.
-  if (may_go_on(cell.kind) && cell.ending != connection_ending::silent) {
+  if (may_retry_elsewhere(cell.kind) && cell.ending != connection_ending::silent) {
     return {true, all};
   }
   return {false, is_stream(cell.kind) ? whole_events(body) : "", cell.ending != connection_ending::reset};
@@ -433,7 +435,7 @@
   events.finished = [outcome](std::uint32_t total) { outcome->finished_at = total; };
   events.failed = [outcome](routing::CallFailure failure) { outcome->failure = failure; };
   path.engine_client.start(BackendId("e0"), call, std::move(events));
-  const auto until = std::chrono::steady_clock::now() + kTestPatience;
+  const auto until = std::chrono::steady_clock::now() + kTestTimeout;
   while (!outcome->ended() && std::chrono::steady_clock::now() < until) {
     path.context.run_one_for(std::chrono::milliseconds(100));
   }
--- a/tests/wire/corpus_fuzz_test.cpp
+++ b/tests/wire/corpus_fuzz_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::uint8_t kFirstUnknownKind = 200;
 constexpr unsigned kMostRemoved = 12;
-constexpr unsigned kMostDamaged = 4;
+constexpr unsigned kMaxChangedBytes = 4;
 
 const std::vector<corpus_version>& corpus() {
   static const std::vector<corpus_version> all = read_corpus();
@@ -134,7 +134,7 @@
 
 /// @return @p bytes with some of them changed, and truncated.
 std::string damaged(std::string bytes) {
-  const unsigned flips = *rc::gen::inRange(0U, kMostDamaged);
+  const unsigned flips = *rc::gen::inRange(0U, kMaxChangedBytes);
   for (unsigned count = 0; count < flips; ++count) {
     bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
   }
