--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -14,7 +14,8 @@
 
 namespace madderdeck::net {
 
-/// Receives a streamed request body. Call @p more for the next piece; @p last marks the end.
+/// Receives the pieces of a streamed request body. The handler calls @p more to request the next piece; @p last marks
+/// the last one.
 using BodyHandler = std::function<void(std::string_view piece, bool last, std::function<void()> more)>;
 
 /// One request and its response. All calls on the server's io_context thread.
@@ -22,7 +23,7 @@
  public:
   virtual ~Exchange() = default;
   virtual const HttpRequest& request() const = 0;
-  /// @return the address from which the caller is connected, without its port; empty where that is not known.
+  /// @return the address from which the caller is connected, without its port; empty if it is not known.
   virtual std::string caller_ip() const { return {}; }
   /// Sends a complete response. Exactly one of respond() and start_stream() must be called.
   virtual void respond(HttpResponse response) = 0;
@@ -42,7 +43,7 @@
   /// @return number of response bytes that have not been sent to the caller yet.
   virtual std::size_t backlog() const = 0;
   virtual void on_backlog_gone(std::function<void()> hook) = 0;
-  /// Called when the caller closes its connection before the response has ended.
+  /// Sets @p hook, which is called if the caller closes its connection before the response has ended.
   virtual void on_caller_gone(std::function<void()> hook) = 0;
   /// Starts reading a streamed body; only if ServerOptions::streams_body returned true for the request.
   virtual void read_body(BodyHandler handler) = 0;
