--- a/src/cli/object_commands.cpp
+++ b/src/cli/object_commands.cpp
@@ -1,4 +1,4 @@
-/// @file Declaring objects and reading them back.
+/// @file Commands that declare, read, watch and delete objects.
 
 #include <boost/json.hpp>
 #include <fstream>
@@ -34,31 +34,31 @@
   for (const json::value& object : objects) {
     const json::object* fields = object.if_object();
     if (fields == nullptr || !fields->contains("kind") || !fields->contains("name")) {
-      return Error{ErrorKind::invalid_argument, path + ": each object needs kind and name"};
+      return Error{ErrorKind::invalid_argument, path + ": each object must have the fields kind and name"};
     }
   }
   return objects;
 }
 
-/// An object as the fleet holds it now.
-struct Standing {
+/// An object as currently declared in the fleet; revision 0 if it does not exist.
+struct DeclaredObject {
   std::uint64_t revision = 0;
   json::value body;
 };
 
-Result<Standing> standing_object(FleetClient& fleet, const std::string& kind, const std::string& name) {
+Result<DeclaredObject> declared_object(FleetClient& fleet, const std::string& kind, const std::string& name) {
   const auto response = fleet.call("GET", path_of(kind, name));
   if (!succeeded(response)) {
     if (error_of(response).kind == ErrorKind::not_found) {
-      return Standing{};
+      return DeclaredObject{};
     }
     return error_of(response);
   }
   const json::value value = json::parse(value_of(response).body);
-  return Standing{value.at("revision").to_number<std::uint64_t>(), value.at("body")};
+  return DeclaredObject{value.at("revision").to_number<std::uint64_t>(), value.at("body")};
 }
 
-/// Waits until every member of the fleet holds @p revision.
+/// Waits until every member of the fleet has applied @p revision.
 Status wait_everywhere(FleetClient& fleet, std::uint64_t revision) {
   for (int step = 0; step < kWaitSteps; ++step) {
     const auto response = fleet.call("GET", "/admin/status");
@@ -80,7 +80,7 @@
     }
     std::this_thread::sleep_for(kWaitStep);
   }
-  return Error{ErrorKind::unavailable, "revision " + std::to_string(revision) + " is not in force everywhere yet"};
+  return Error{ErrorKind::unavailable, "revision " + std::to_string(revision) + " is not applied on all nodes yet"};
 }
 
 }  // namespace
@@ -97,7 +97,7 @@
     const std::string name = plain(object.at("name"));
     std::string label = kind;
     label.append(" ").append(name);
-    auto standing = standing_object(context.fleet, kind, name);
+    auto standing = declared_object(context.fleet, kind, name);
     if (!succeeded(standing)) {
       return error_of(standing);
     }
@@ -134,7 +134,7 @@
   for (const json::value& object : value_of(objects)) {
     const std::string kind = plain(object.at("kind"));
     const std::string name = plain(object.at("name"));
-    auto standing = standing_object(context.fleet, kind, name);
+    auto standing = declared_object(context.fleet, kind, name);
     if (!succeeded(standing)) {
       return error_of(standing);
     }
@@ -178,9 +178,9 @@
 
 Status run_delete(CommandContext& context) {
   if (context.arguments.size() != 2) {
-    return Error{ErrorKind::invalid_argument, "delete needs KIND and NAME"};
+    return Error{ErrorKind::invalid_argument, "delete requires KIND and NAME"};
   }
-  auto standing = standing_object(context.fleet, context.arguments[0], context.arguments[1]);
+  auto standing = declared_object(context.fleet, context.arguments[0], context.arguments[1]);
   if (!succeeded(standing)) {
     return error_of(standing);
   }
