--- a/src/membership/fleet_search.cpp
+++ b/src/membership/fleet_search.cpp
@@ -2,13 +2,13 @@
 
 namespace madderdeck::membership {
 
-std::string_view name_of(found_by who) {
+std::string_view name_of(discovery_source who) {
   switch (who) {
-    case found_by::seed:
+    case discovery_source::seed:
       return "seed";
-    case found_by::remembered_peer:
+    case discovery_source::remembered_peer:
       return "remembered_peer";
-    case found_by::peer:
+    case discovery_source::peer:
       return "peer";
   }
   return "unknown";
--- a/src/membership/fleet_search.hpp
+++ b/src/membership/fleet_search.hpp
@@ -12,10 +12,10 @@
 namespace madderdeck::membership {
 
 /// How the sender of the message that ended a search was known to this node.
-enum class found_by { seed, remembered_peer, peer };
+enum class discovery_source { seed, remembered_peer, peer };
 
 /// @return the name of @p who in logs.
-std::string_view name_of(found_by who);
+std::string_view name_of(discovery_source who);
 
 /// A search begins when a node starts or all members it knew are dead. It ends when the node learns of a live member.
 class fleet_search {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -142,9 +142,9 @@
   return member == nullptr ? std::nullopt : std::optional(PeerAddress(member->peer_address));
 }
 
-std::optional<member_word> Membership::last_word_of(const NodeId& node) const {
+std::optional<member_contact> Membership::last_contact_of(const NodeId& node) const {
   if (node.str() == self_.id) {
-    return member_word{};
+    return member_contact{};
   }
   const auto entry = members_.find(node);
   if (entry == members_.end()) {
@@ -152,8 +152,8 @@
   }
   const Timestamp last_direct_at = entry->second.last_direct_at;
   const Timestamp last_forwarded_at = entry->second.last_forwarded_at;
-  return member_word{environment_.now() - std::max(last_direct_at, last_forwarded_at),
-                     last_direct_at >= last_forwarded_at};
+  return member_contact{environment_.now() - std::max(last_direct_at, last_forwarded_at),
+                        last_direct_at >= last_forwarded_at};
 }
 
 unsigned Membership::distance_to(const NodeId& node) const {
@@ -179,7 +179,7 @@
   return all;
 }
 
-std::vector<const MemberT*> Membership::others_not_long_dead(Duration within) const {
+std::vector<const MemberT*> Membership::others_except_long_dead(Duration within) const {
   std::vector<const MemberT*> found;
   for (const auto& [node, entry] : members_) {
     const bool dead = entry.member.state == MemberState::Dead;
@@ -193,8 +193,8 @@
 std::vector<const MemberT*> Membership::available(Role role) const {
   std::vector<const MemberT*> found = members();
   std::erase_if(found, [role](const MemberT* member) {
-    const bool takes_work = member->state == MemberState::Alive || member->state == MemberState::Suspect;
-    return !takes_work || !has_role(*member, role);
+    const bool accepts_work = member->state == MemberState::Alive || member->state == MemberState::Suspect;
+    return !accepts_work || !has_role(*member, role);
   });
   return found;
 }
@@ -278,8 +278,8 @@
     begin_search(false);
   }
   ping_seeds();
-  if (search_.take_due_report(environment_.now()) && hooks_.on_not_found) {
-    hooks_.on_not_found(search_);
+  if (search_.take_due_report(environment_.now()) && hooks_.on_fleet_not_found) {
+    hooks_.on_fleet_not_found(search_);
   }
 }
 
@@ -289,18 +289,18 @@
   }
   search_.end();
   counters_["membership_alone"] = 0;
-  if (hooks_.on_found) {
-    hooks_.on_found(search_, sender, classify_peer_at(sender));
+  if (hooks_.on_fleet_found) {
+    hooks_.on_fleet_found(search_, sender, classify_peer_at(sender));
   }
 }
 
-found_by Membership::classify_peer_at(const PeerAddress& address) const {
+discovery_source Membership::classify_peer_at(const PeerAddress& address) const {
   if (std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end()) {
-    return found_by::seed;
+    return discovery_source::seed;
   }
   const bool remembered = std::any_of(remembered_.begin(), remembered_.end(),
                                       [&address](const remembered_peer& peer) { return peer.address == address; });
-  return remembered ? found_by::remembered_peer : found_by::peer;
+  return remembered ? discovery_source::remembered_peer : discovery_source::peer;
 }
 
 void Membership::recall(std::vector<remembered_peer> peers) {
@@ -579,7 +579,7 @@
 
 // --- merging --------------------------------------------------------------------------------
 
-bool Membership::merge(const MemberT& update, bool first_hand, bool spread) {
+bool Membership::merge(const MemberT& update, bool received_directly, bool spread) {
   if (update.id.empty()) {
     return false;
   }
@@ -590,17 +590,17 @@
   const NodeId node(update.id);
   auto [position, inserted] = members_.try_emplace(node);
   Entry& entry = position->second;
-  if (first_hand) {
+  if (received_directly) {
     entry.last_direct_at = environment_.now();
   }
   if (!inserted && !overrides(update, entry.member)) {
     return false;
   }
-  if (inserted && update.state == MemberState::Dead && first_hand) {
+  if (inserted && update.state == MemberState::Dead && received_directly) {
     members_.erase(position);
     return false;
   }
-  if (!first_hand) {
+  if (!received_directly) {
     entry.last_forwarded_at = environment_.now();
   }
   accept_update(entry, update, spread);
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -48,9 +48,9 @@
 const char* name_of(wire::MemberState state);
 
 /// The latest information about a member.
-struct member_word {
-  Duration age{};          ///< Time since this node received it.
-  bool first_hand = true;  ///< Whether it came from the member itself; otherwise another node forwarded it.
+struct member_contact {
+  Duration age{};                 ///< Time since this node received it.
+  bool received_directly = true;  ///< Whether it came from the member itself; otherwise another node forwarded it.
 };
 
 /// Revisions of the versioned tables, carried by every probe. The ages are milliseconds since the store last confirmed
@@ -74,9 +74,9 @@
   /// Called when other nodes had declared this node dead, because it was partitioned or frozen for long.
   std::function<void()> on_self_refuted;
   /// Called when no live member has been found for some time; may be empty.
-  std::function<void(const fleet_search&)> on_not_found;
+  std::function<void(const fleet_search&)> on_fleet_not_found;
   /// Called when a message from @p by ended a search; may be empty.
-  std::function<void(const fleet_search&, const PeerAddress& by, found_by)> on_found;
+  std::function<void(const fleet_search&, const PeerAddress& by, discovery_source)> on_fleet_found;
 };
 
 /// One node's view of the fleet's members. Single threaded.
@@ -117,7 +117,7 @@
   const wire::MemberT* find(const NodeId& node) const;
   std::optional<PeerAddress> address_of(const NodeId& node) const;
   /// @return age and origin of the latest information about @p node, which may be this node; nothing if unknown.
-  std::optional<member_word> last_word_of(const NodeId& node) const;
+  std::optional<member_contact> last_contact_of(const NodeId& node) const;
   /// @return 0 for a node in this node's zone, 1 for one in its region, 2 for all others and for unknown nodes.
   unsigned distance_to(const NodeId& node) const;
   /// @return whether the node at @p address is known to be in this node's zone.
@@ -126,7 +126,7 @@
   std::vector<const wire::MemberT*> members() const;
   /// @return all other members that are not dead, and those that have been dead for less than @p within: on a network
   ///         with heavy packet loss a live node can be declared dead for some seconds until it refutes this.
-  std::vector<const wire::MemberT*> others_not_long_dead(Duration within) const;
+  std::vector<const wire::MemberT*> others_except_long_dead(Duration within) const;
   /// @return members with @p role that take new work, including this node if it does.
   std::vector<const wire::MemberT*> available(Role role) const;
   /// @return members with @p role that answer probes and take new work, including this node if it does.
@@ -168,7 +168,8 @@
   void probe(const NodeId& target);
   void probe_indirectly(std::uint64_t sequence);
   void finish_probe(std::uint64_t sequence);
-  /// Pings the seeds and calls on_not_found when a report is due. Runs in each period without a live member to probe.
+  /// Pings the seeds and calls on_fleet_not_found when a report is due. Runs in each period without a live member to
+  /// probe.
   void search_for_fleet();
   void begin_search(bool at_start);
   /// Ends the search for the fleet, on a message from @p sender, if a live member is known.
@@ -179,7 +180,7 @@
   void ping_remembered_peers();
   /// @return whether this node or a known member, live or dead, has @p address.
   bool knows_address(const PeerAddress& address) const;
-  found_by classify_peer_at(const PeerAddress& address) const;
+  discovery_source classify_peer_at(const PeerAddress& address) const;
   void ping_unknown_seed();
   /// Pings the seeds now, after @p pause and then at doubling intervals until a member is known or the interval reaches
   /// the period.
@@ -190,7 +191,7 @@
   /// @param spread whether the update is gossiped to peers; false for updates from member lists, which peers also get
   ///        from lists.
   /// @return whether the update was accepted.
-  bool merge(const wire::MemberT& update, bool first_hand, bool spread);
+  bool merge(const wire::MemberT& update, bool received_directly, bool spread);
   /// Raises this node's incarnation if @p claim, received from another node, misstates its state or is newer.
   void refute(const wire::MemberT& claim);
   void accept_update(Entry& entry, const wire::MemberT& update, bool spread = true);
--- a/src/membership/ranking.hpp
+++ b/src/membership/ranking.hpp
@@ -22,7 +22,7 @@
 
 /// @return the scheduler that is responsible for @p key (a job, an engine, a limit) in this node's view of the fleet;
 /// null if no available scheduler is known.
-inline const wire::MemberT* ranked_scheduler(const Membership& members, std::string_view key) {
+inline const wire::MemberT* responsible_scheduler(const Membership& members, std::string_view key) {
   return first_ranked(members.available(Role::scheduler), key);
 }
 
