--- a/src/ledger/client.cpp
+++ b/src/ledger/client.cpp
@@ -108,7 +108,7 @@
   start_attempt(submit(std::move(operation)));
 }
 
-void Client::settle_next(std::uint32_t group, std::function<void(Result<ReplicaGroup>)> done) {
+void Client::decide_next_unchanged(std::uint32_t group, std::function<void(Result<ReplicaGroup>)> done) {
   if (group >= map_.groups.size()) {
     done(Error{ErrorKind::unavailable, "unknown group"});
     return;
@@ -118,7 +118,7 @@
   decide_next(group, next, EpochRule{}, std::move(done));
 }
 
-void Client::tell_group(std::uint32_t group, const NodeId& node) {
+void Client::send_group_description(std::uint32_t group, const NodeId& node) {
   const auto address = addresses_(node);
   if (group >= map_.groups.size() || !address) {
     return;
@@ -204,8 +204,8 @@
 }
 
 void Client::note_request(const NodeId& node) const {
-  if (on_asked) {
-    on_asked(node);
+  if (on_request_sent) {
+    on_request_sent(node);
   }
 }
 
@@ -350,13 +350,13 @@
     vote.whole = !operation.not_whole.contains(index);
     vote.counts = operation.counts(index);
     if (operation.given_up_answer == index) {
-      vote.ground = refusal_ground::given_up_answers;
+      vote.ground = refusal_reason::given_up_answers;
     } else if (operation.granted.contains(index)) {
-      vote.ground = refusal_ground::none;
+      vote.ground = refusal_reason::none;
     } else if (!address) {
-      vote.ground = refusal_ground::no_address;
+      vote.ground = refusal_reason::no_address;
     } else if (refusal != operation.refusals.end()) {
-      vote.ground = ground_of(refusal->second);
+      vote.ground = refusal_reason_of(refusal->second);
     }
     votes.members.push_back(std::move(vote));
   }
@@ -567,7 +567,7 @@
   submit_scan(std::move(scan), options_.operation_timeout);
 }
 
-void Client::scan_within(Duration patience, const std::string& prefix, std::uint32_t limit, ScanDone done) {
+void Client::scan_with_timeout(Duration patience, const std::string& prefix, std::uint32_t limit, ScanDone done) {
   Scan scan;
   scan.prefix = prefix;
   scan.limit = limit;
--- a/src/ledger/client.hpp
+++ b/src/ledger/client.hpp
@@ -100,17 +100,17 @@
                    std::function<void(Result<ReplicaGroup>)> done);
   /// Has the members of the current epoch decide the next one with unchanged members, unless another proposal is
   /// decided first. Afterwards it is known which disks the next epoch names.
-  void settle_next(std::uint32_t group, std::function<void(Result<ReplicaGroup>)> done);
+  void decide_next_unchanged(std::uint32_t group, std::function<void(Result<ReplicaGroup>)> done);
   /// Sends the current description of @p group to every replica that it names.
   void announce_group(std::uint32_t group);
   /// Sends the current description of @p group to @p node.
-  void tell_group(std::uint32_t group, const NodeId& node);
+  void send_group_description(std::uint32_t group, const NodeId& node);
   /// Lists the records of one partition whose keys start with @p prefix and follow @p after. Values come from the
   /// nearest replica; the other replicas send their ballots, which show whether these values are chosen.
   void scan(const std::string& prefix, const std::string& after, std::uint32_t limit, ScanDone done,
             ScanContent content = ScanContent::values);
   /// Like scan(), but fails after @p patience.
-  void scan_within(Duration patience, const std::string& prefix, std::uint32_t limit, ScanDone done);
+  void scan_with_timeout(Duration patience, const std::string& prefix, std::uint32_t limit, ScanDone done);
   /// Like scan(), in the group with the given number.
   void scan_group(std::uint32_t group, const std::string& prefix, const std::string& after, std::uint32_t limit,
                   ScanDone done, ScanContent content = ScanContent::values);
@@ -120,7 +120,7 @@
   void fetch(const std::vector<std::string>& keys, std::size_t max_bytes, Duration patience, ScanDone done);
 
   /// Called for each request sent to a replica; may be empty.
-  std::function<void(const NodeId&)> on_asked;
+  std::function<void(const NodeId&)> on_request_sent;
   /// Called when a replica refuses a request for the epoch; may be empty.
   std::function<void(const PeerAddress&, std::uint32_t group, std::uint64_t epoch, wire::ReplicaStatus)> on_refusal;
 
--- a/src/ledger/decision_votes.hpp
+++ b/src/ledger/decision_votes.hpp
@@ -13,7 +13,7 @@
 namespace madderdeck::ledger {
 
 /// Why a member did not grant a proposal, or why no next epoch was decided.
-enum class refusal_ground {
+enum class refusal_reason {
   none,              ///< The proposal was granted, or the epoch decided.
   silent,            ///< No attempt was answered.
   no_address,        ///< The proposer does not know the member's address.
@@ -32,24 +32,24 @@
 };
 
 /// All values in declaration order.
-inline constexpr std::array kRefusalGrounds = {refusal_ground::none,          refusal_ground::silent,
-                                               refusal_ground::no_address,    refusal_ground::not_admitted,
-                                               refusal_ground::unknown_epoch, refusal_ground::stale_epoch,
-                                               refusal_ground::outbid,        refusal_ground::corrupted,
-                                               refusal_ground::not_whole,     refusal_ground::given_up_answers,
-                                               refusal_ground::member_there,  refusal_ground::epoch_passed,
-                                               refusal_ground::store,         refusal_ground::candidate,
-                                               refusal_ground::other};
+inline constexpr std::array kRefusalReasons = {refusal_reason::none,          refusal_reason::silent,
+                                               refusal_reason::no_address,    refusal_reason::not_admitted,
+                                               refusal_reason::unknown_epoch, refusal_reason::stale_epoch,
+                                               refusal_reason::outbid,        refusal_reason::corrupted,
+                                               refusal_reason::not_whole,     refusal_reason::given_up_answers,
+                                               refusal_reason::member_there,  refusal_reason::epoch_passed,
+                                               refusal_reason::store,         refusal_reason::candidate,
+                                               refusal_reason::other};
 
 /// @return the name used in logs and counters.
-const char* name_of(refusal_ground ground);
+const char* name_of(refusal_reason ground);
 /// @return the reason that corresponds to a member's answer.
-refusal_ground ground_of(wire::ReplicaStatus status);
+refusal_reason refusal_reason_of(wire::ReplicaStatus status);
 
 /// The last answer of one member.
 struct member_vote {
   ReplicaIdentity member;
-  refusal_ground ground = refusal_ground::silent;
+  refusal_reason ground = refusal_reason::silent;
   bool whole = true;   ///< For a member that granted: it did not report that it may lack confirmed records.
   bool counts = true;  ///< Whether its answer counts; false where another member is the sole decider.
 };
@@ -69,6 +69,6 @@
 
 /// @return why a decision ended with @p error. Where members refused, it is the most frequent reason of the refusals;
 ///         of equally frequent ones the first in declaration order.
-refusal_ground ground_of(const Error& error, const decision_votes& votes);
+refusal_reason refusal_reason_of(const Error& error, const decision_votes& votes);
 
 }  // namespace madderdeck::ledger
--- a/src/ledger/epoch_change.cpp
+++ b/src/ledger/epoch_change.cpp
@@ -33,9 +33,9 @@
     const bool member_already = std::any_of(group.replicas.begin(), group.replicas.end(), [&](const auto& replica) {
       return replica.node == place.identity.node && replica.node != lost.node;
     });
-    const bool leaves =
-        guards.leavers_stay_out && std::any_of(group.leaving.begin(), group.leaving.end(),
-                                               [&](const auto& leaver) { return leaver.node == place.identity.node; });
+    const bool leaves = guards.exclude_leaving_members &&
+                        std::any_of(group.leaving.begin(), group.leaving.end(),
+                                    [&](const auto& leaver) { return leaver.node == place.identity.node; });
     if (member_already || leaves) {
       continue;
     }
@@ -186,13 +186,13 @@
   return "unknown";
 }
 
-std::optional<epoch_change> wanted_change(const ReplicaGroup& group, fleet_view& view, std::size_t replicas,
-                                          const change_guards& guards) {
+std::optional<epoch_change> next_epoch_change(const ReplicaGroup& group, fleet_view& view, std::size_t replicas,
+                                              const change_guards& guards) {
   epoch_change change;
   change.next = group;
   ++change.next.epoch;
   std::erase_if(change.next.leaving, [&view](const ReplicaIdentity& leaver) {
-    return view.has_gone(leaver) && view.state_of(leaver) == replica_state::disk_replaced;
+    return view.is_permanently_gone(leaver) && view.state_of(leaver) == replica_state::disk_replaced;
   });
   std::vector<replica_state> states;
   for (const ReplicaIdentity& replica : group.replicas) {
@@ -232,8 +232,8 @@
     }
   }
   // A leaving member is copied from until it is gone.
-  const auto given_up =
-      std::erase_if(change.next.leaving, [&view](const ReplicaIdentity& leaver) { return view.has_gone(leaver); });
+  const auto given_up = std::erase_if(
+      change.next.leaving, [&view](const ReplicaIdentity& leaver) { return view.is_permanently_gone(leaver); });
   change.rule.whole_majority = given_up > 0;
   change.rule.least_whole = least_copies(replicas);
   change.reason = "leaving members are gone: " + text_of(group.leaving);
--- a/src/ledger/epoch_change.hpp
+++ b/src/ledger/epoch_change.hpp
@@ -39,7 +39,7 @@
   virtual bool is_there(const ReplicaIdentity& replica) const = 0;
   /// @return whether the disk of @p leaver, a former member, is gone for certain, so that nothing waits for what it
   ///         holds.
-  virtual bool has_gone(const ReplicaIdentity& leaver) = 0;
+  virtual bool is_permanently_gone(const ReplicaIdentity& leaver) = 0;
   /// @return whether an operator has requested to drain @p node, whichever disk it has.
   virtual bool is_retiring(const NodeId& node) const = 0;
   /// @return the disks that accept new records.
@@ -58,15 +58,15 @@
 
 /// Rules for membership changes. The simulation can turn each of them off.
 struct change_guards {
-  bool new_members_consent = true;       ///< A disk becomes a member only with its own consent.
-  bool leavers_stay_out = true;          ///< A leaving member of a group is never a substitute in that group.
-  bool members_miss_silent_ones = true;  ///< A member that another member considers up is not given up as unresponsive.
+  bool new_members_consent = true;      ///< A disk becomes a member only with its own consent.
+  bool exclude_leaving_members = true;  ///< A leaving member of a group is never a substitute in that group.
+  bool protect_members_seen_up = true;  ///< A member that another member considers up is not given up as unresponsive.
 };
 
 /// @param replicas intended number of replicas of a group
 /// @return the next description of @p group if a change is needed. Each step makes one replacement; the next
 ///         replacement waits for the group to be examined again.
-std::optional<epoch_change> wanted_change(const ReplicaGroup& group, fleet_view& view, std::size_t replicas,
-                                          const change_guards& guards = {});
+std::optional<epoch_change> next_epoch_change(const ReplicaGroup& group, fleet_view& view, std::size_t replicas,
+                                              const change_guards& guards = {});
 
 }  // namespace madderdeck::ledger
--- a/src/ledger/gone_disks.cpp
+++ b/src/ledger/gone_disks.cpp
@@ -68,7 +68,7 @@
     return gone_disk{identity, gone_reason::disk_replaced, "a later epoch names its node with another disk"};
   }
   const bool away = is_away(identity.node);
-  const std::optional<bool> emptied = known_.is_emptied ? known_.is_emptied(identity.node) : std::nullopt;
+  const std::optional<bool> emptied = known_.is_drained ? known_.is_drained(identity.node) : std::nullopt;
   // A disk of a drained node still counts as present if a new machine with the node's name is up and not being drained.
   if (emptied.value_or(false) && (away || node->retiring)) {
     return gone_disk{identity, gone_reason::emptied, "its node was emptied"};
--- a/src/ledger/gone_disks.hpp
+++ b/src/ledger/gone_disks.hpp
@@ -44,7 +44,7 @@
   /// Time without contact after which a node's disk is considered gone; empty: not known.
   std::function<Duration()> patience;
   /// Returns whether a node has been drained; an empty result or function means that this node is not informed.
-  std::function<std::optional<bool>(const NodeId&)> is_emptied;
+  std::function<std::optional<bool>(const NodeId&)> is_drained;
 };
 
 /// Tracks since when the nodes named by groups have been away. Owned by one node, single-threaded.
--- a/src/ledger/group_health.cpp
+++ b/src/ledger/group_health.cpp
@@ -144,10 +144,10 @@
       gone_(environment,
             {member_, [&client](const ReplicaIdentity& disk) { return client.is_obsolete(disk); }, {}, {}}) {}
 
-void group_health::judge_losses(std::function<Duration()> patience,
-                                std::function<std::optional<bool>(const NodeId&)> is_emptied) {
+void group_health::set_loss_criteria(std::function<Duration()> patience,
+                                     std::function<std::optional<bool>(const NodeId&)> is_drained) {
   gone_.known().patience = std::move(patience);
-  gone_.known().is_emptied = std::move(is_emptied);
+  gone_.known().is_drained = std::move(is_drained);
 }
 
 void group_health::start() {
@@ -400,7 +400,7 @@
 
 // --- incoming answers ------------------------------------------------------------------------
 
-void group_health::on_asked(const NodeId& node) {
+void group_health::on_request_sent(const NodeId& node) {
   request_activity& entry = request_activities_[node];
   const Timestamp now = environment_.now();
   // The time without requests is not counted as unresponsive.
--- a/src/ledger/group_health.hpp
+++ b/src/ledger/group_health.hpp
@@ -94,11 +94,12 @@
                const Replica* replica, member_lookup member);
 
   /// Sets how permanently gone disks are recognized: the time to wait for a node, and whether a node was drained.
-  void judge_losses(std::function<Duration()> patience, std::function<std::optional<bool>(const NodeId&)> is_emptied);
+  void set_loss_criteria(std::function<Duration()> patience,
+                         std::function<std::optional<bool>(const NodeId&)> is_drained);
   void start();
 
   /// Called when this node has sent a ledger request that @p node is expected to answer.
-  void on_asked(const NodeId& node);
+  void on_request_sent(const NodeId& node);
   /// Called for each answer to a ledger request, whatever its content.
   void on_heard(const PeerAddress& sender);
   /// Called when a member has granted a request of this node at @p epoch.
--- a/src/ledger/place_consents.cpp
+++ b/src/ledger/place_consents.cpp
@@ -97,7 +97,7 @@
   emptied_ = value_of(emptied) && value_of(emptied) == encode(1);
   restored_ = true;
   if (disk_stays_) {
-    keep_disk();
+    cancel_draining();
   }
   return Ok{};
 }
@@ -141,7 +141,7 @@
   store_emptied(true);
 }
 
-void place_consents::keep_disk() {
+void place_consents::cancel_draining() {
   disk_stays_ = true;
   if (emptied_) {
     emptied_ = false;
--- a/src/ledger/place_consents.hpp
+++ b/src/ledger/place_consents.hpp
@@ -56,12 +56,12 @@
   const std::map<std::uint32_t, std::uint64_t>& given() const { return given_; }
 
   /// Called when draining of the disk begins.
-  void begin_emptying() { emptying_ = true; }
+  void begin_draining() { emptying_ = true; }
   /// Called when the disk may be removed with its contents: from now on, also after a restart, every offer is declined.
   /// Durable once the storage has been flushed.
   void note_emptied();
   /// Called when the disk is not to be drained after all.
-  void keep_disk();
+  void cancel_draining();
   /// Called when the process begins to shut down.
   void begin_stopping() { stopping_ = true; }
 
--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -517,7 +517,7 @@
   state.complete = progress.synchronized;
   state.description = std::make_unique<wire::GroupDescriptionT>(to_wire(progress.description));
   // If the epoch were stored without its marks, this replica would vote too early after a restart.
-  storage_.put_together({{marks_key(group), encode_marks(progress)}, {state_key(group), wire::encode_record(state)}});
+  storage_.put_atomically({{marks_key(group), encode_marks(progress)}, {state_key(group), wire::encode_record(state)}});
   storage_.flush([](const Status&) {});
 }
 
@@ -1509,7 +1509,7 @@
 bool Replica::left_all_groups(std::size_t least_copies) const {
   const bool knows_groups = !latest_epochs_.empty() || !progress_.empty();
   const bool all_read = !suspended_ && !group_list_unread_ && unreadable_.empty();
-  const bool named_nowhere = open_places().empty() || !guards_.open_places_hold;
+  const bool named_nowhere = open_places().empty() || !guards_.open_consents_block_removal;
   return all_read && knows_groups && named_nowhere && pending_handovers(least_copies).empty();
 }
 
@@ -1535,8 +1535,8 @@
   storage_.flush(std::move(done));
 }
 
-void Replica::keep_disk() {
-  consents_.keep_disk();
+void Replica::cancel_draining() {
+  consents_.cancel_draining();
   storage_.flush([](const Status&) {});
 }
 
--- a/src/ledger/replica.hpp
+++ b/src/ledger/replica.hpp
@@ -25,7 +25,8 @@
   bool flush_before_reply = true;       ///< A reply is sent only after its write is durable.
   bool reject_lower_ballots = true;
   bool fence_old_epochs = true;
-  bool open_places_hold = true;  ///< A disk does not count as drained while an epoch that it consented to is undecided.
+  bool open_consents_block_removal =
+      true;  ///< A disk does not count as drained while an epoch that it consented to is undecided.
 };
 
 /// Single-record consensus acceptor on top of Storage. Owned by one node, single-threaded.
@@ -76,12 +77,12 @@
   /// @return the latest epoch of @p group that this replica knows to be decided; zero: none.
   std::uint64_t known_epoch(std::uint32_t group) const;
   /// Called when draining of the disk begins: it consents to a place only in a group that has no other disk available.
-  void begin_emptying() { consents_.begin_emptying(); }
+  void begin_draining() { consents_.begin_draining(); }
   /// Called when the disk may be removed: it consents to no place any more.
   /// @param done runs once this state would survive a restart; receives an error if the disk fails
   void note_emptied(std::function<void(Status)> done);
   /// Called when the disk is not to be drained after all.
-  void keep_disk();
+  void cancel_draining();
   /// Called when the process begins to shut down: the disk consents to no place any more.
   void begin_stopping() { consents_.begin_stopping(); }
 
--- a/src/ledger/rocksdb_disk_opener.cpp
+++ b/src/ledger/rocksdb_disk_opener.cpp
@@ -7,7 +7,7 @@
 
 namespace madderdeck::ledger {
 
-bool is_worth_another_attempt(const Error& error) {
+bool is_retryable(const Error& error) {
   return error.kind == ErrorKind::storage_unwritable || error.kind == ErrorKind::unavailable;
 }
 
@@ -70,7 +70,7 @@
     hooks_.opened(std::move(value_of(opened)));
     return;
   }
-  if (!is_worth_another_attempt(error_of(opened))) {
+  if (!is_retryable(error_of(opened))) {
     hooks_.given_up(error_of(opened));
     return;
   }
--- a/src/ledger/rocksdb_disk_opener.hpp
+++ b/src/ledger/rocksdb_disk_opener.hpp
@@ -20,7 +20,7 @@
 };
 
 /// @return whether a retry is useful after an attempt to open a folder failed with @p error.
-bool is_worth_another_attempt(const Error& error);
+bool is_retryable(const Error& error);
 
 /// Retries in the background until the folder is open. Has to outlive the tasks of its executors.
 class disk_opener {
--- a/src/ledger/rocksdb_storage.cpp
+++ b/src/ledger/rocksdb_storage.cpp
@@ -60,7 +60,7 @@
   std::string folder;
   rocksdb::Env* env = nullptr;
   std::size_t write_buffer_bytes = kWriteBufferBytes;
-  DiskTroubleHooks hooks;
+  DiskFailureHooks hooks;
   /// A write or sync failed: the owner's thread does not use the database, which the background task reopens.
   bool failed = false;
   /// The same for the background task: RocksDB may terminate the process if a log is synced after a write to it has
@@ -121,12 +121,12 @@
 }
 
 void RocksDbStorage::take_over(std::unique_ptr<RocksDbStorage> opened) {
-  DiskTroubleHooks hooks = std::move(implementation_->hooks);
+  DiskFailureHooks hooks = std::move(implementation_->hooks);
   implementation_ = std::move(opened->implementation_);
   implementation_->hooks = std::move(hooks);
 }
 
-void RocksDbStorage::set_hooks(DiskTroubleHooks hooks) { implementation_->hooks = std::move(hooks); }
+void RocksDbStorage::set_hooks(DiskFailureHooks hooks) { implementation_->hooks = std::move(hooks); }
 
 Result<std::optional<wire::Bytes>> RocksDbStorage::get(const std::string& key) const {
   std::optional<wire::Bytes> value;
@@ -164,7 +164,7 @@
   write(batch);
 }
 
-void RocksDbStorage::put_together(const std::vector<Entry>& entries) {
+void RocksDbStorage::put_atomically(const std::vector<Entry>& entries) {
   rocksdb::WriteBatch batch;
   for (const Entry& entry : entries) {
     batch.Put(entry.key, slice_of(entry.value));
@@ -312,11 +312,11 @@
 }
 
 void RocksDbStorage::finish_reopen(const std::shared_ptr<Implementation>& implementation, const Status& opened) {
-  const DiskTroubleHooks& hooks = implementation->hooks;
+  const DiskFailureHooks& hooks = implementation->hooks;
   if (!succeeded(opened)) {
     schedule_reopen(implementation);
-    if (hooks.still_refused) {
-      hooks.still_refused(error_of(opened));
+    if (hooks.reopen_failed) {
+      hooks.reopen_failed(error_of(opened));
     }
     return;
   }
--- a/src/ledger/rocksdb_storage.hpp
+++ b/src/ledger/rocksdb_storage.hpp
@@ -26,9 +26,9 @@
 };
 
 /// Callbacks, run on the owner's thread; each may be empty.
-struct DiskTroubleHooks {
+struct DiskFailureHooks {
   std::function<void(const Error&)> refused;  ///< A write or sync failed: from now on nothing is read or confirmed.
-  std::function<void(const Error&)> still_refused;  ///< An attempt to reopen the database failed.
+  std::function<void(const Error&)> reopen_failed;  ///< An attempt to reopen the database failed.
   std::function<void()> regained;  ///< The database is open again; all that it holds is synced to the disk.
 };
 
@@ -60,12 +60,12 @@
   static std::unique_ptr<RocksDbStorage> make_unopened();
   /// Takes the database of @p opened, which is destroyed. This storage must not have one.
   void take_over(std::unique_ptr<RocksDbStorage> opened);
-  void set_hooks(DiskTroubleHooks hooks);
+  void set_hooks(DiskFailureHooks hooks);
 
   Result<std::optional<wire::Bytes>> get(const std::string& key) const override;
   Status look_at(const std::string& key, const std::function<void(std::string_view value)>& look) const override;
   void put(const std::string& key, const wire::Bytes& value) override;
-  void put_together(const std::vector<Entry>& entries) override;
+  void put_atomically(const std::vector<Entry>& entries) override;
   Status scan(const std::string& prefix, const std::string& after,
               const std::function<bool(std::string_view, std::string_view)>& visit) const override;
   /// A caller whose writes are covered by a sync in progress shares that sync.
--- a/src/ledger/storage.hpp
+++ b/src/ledger/storage.hpp
@@ -28,7 +28,7 @@
     wire::Bytes value;
   };
   /// Writes @p entries atomically.
-  virtual void put_together(const std::vector<Entry>& entries) = 0;
+  virtual void put_atomically(const std::vector<Entry>& entries) = 0;
   /// Calls @p visit for each key that starts with @p prefix and is greater than @p after, in order, until it returns
   /// false.
   /// @return ErrorKind::corrupted or ErrorKind::unavailable when reading stops at an error: there may be more keys.
