--- a/src/quarantine/end_history.cpp
+++ b/src/quarantine/end_history.cpp
@@ -11,13 +11,13 @@
 
 UnixMilliseconds suspected_request::last_event_at() const {
   UnixMilliseconds latest = std::max(answered_at, held_back_at);
-  for (const backend_end& end : ends) {
+  for (const backend_termination& end : ends) {
     latest = std::max(latest, end.at);
   }
   return latest;
 }
 
-bool end_history::record(const request_fingerprint& request, const backend_end& end, UnixMilliseconds now) {
+bool end_history::record(const request_fingerprint& request, const backend_termination& end, UnixMilliseconds now) {
   classification_.reset();
   if (end.at + kRetentionMs < now) {
     return false;
@@ -30,13 +30,13 @@
     entry = requests_.emplace(request, suspected_request{request, {}, 0, 0}).first;
   }
   suspected_request& known = entry->second;
-  const auto same =
-      std::find_if(known.ends.begin(), known.ends.end(), [&end](const backend_end& one) { return same_end(one, end); });
+  const auto same = std::find_if(known.ends.begin(), known.ends.end(),
+                                 [&end](const backend_termination& one) { return same_end(one, end); });
   if (same != known.ends.end()) {
     // If two copies of the request ran there, the termination counts as early when one of them had just begun. Of the
     // times that two nodes report the earlier one is kept, so that all nodes store the same whichever they received
     // first.
-    const backend_end before = *same;
+    const backend_termination before = *same;
     same->advanced = same->advanced && end.advanced;
     same->at = std::min(same->at, end.at);
     const bool changed = *same != before;
@@ -49,7 +49,7 @@
   }
   // Keep the earliest ones, so that nodes that received them in a different order store the same.
   const auto later = std::find_if(known.ends.begin(), known.ends.end(),
-                                  [&end](const backend_end& one) { return is_earlier(end, one); });
+                                  [&end](const backend_termination& one) { return is_earlier(end, one); });
   if (later == known.ends.end() && known.ends.size() >= kMaxEnds) {
     return false;
   }
@@ -60,18 +60,18 @@
   return true;
 }
 
-bool end_history::is_earlier(const backend_end& one, const backend_end& other) {
+bool end_history::is_earlier(const backend_termination& one, const backend_termination& other) {
   return std::tie(one.at, one.backend) < std::tie(other.at, other.backend);
 }
 
-bool end_history::same_end(const backend_end& one, const backend_end& other) {
+bool end_history::same_end(const backend_termination& one, const backend_termination& other) {
   const UnixMilliseconds apart = std::max(one.at, other.at) - std::min(one.at, other.at);
   return one.backend == other.backend && apart <= kSameEndWindowMs;
 }
 
 std::size_t end_history::early_ends(const suspected_request& suspect) {
-  return static_cast<std::size_t>(
-      std::count_if(suspect.ends.begin(), suspect.ends.end(), [](const backend_end& end) { return !end.advanced; }));
+  return static_cast<std::size_t>(std::count_if(suspect.ends.begin(), suspect.ends.end(),
+                                                [](const backend_termination& end) { return !end.advanced; }));
 }
 
 /// A termination that is explained by the request with the most terminations counts for no other request. The requests
@@ -83,7 +83,7 @@
   for (const auto& [request, known] : requests_) {
     if (early_ends(known) >= kEndsToHoldBack) {
       open.push_back({&known, known.ends});
-      std::erase_if(open.back().left, [](const backend_end& end) { return end.advanced; });
+      std::erase_if(open.back().left, [](const backend_termination& end) { return end.advanced; });
     }
   }
   classification found;
@@ -123,8 +123,9 @@
   }
 }
 
-std::vector<backend_end> end_history::unshared_ends(const candidate& one, const std::vector<candidate>& others) {
-  std::vector<backend_end> own = one.left;
+std::vector<backend_termination> end_history::unshared_ends(const candidate& one,
+                                                            const std::vector<candidate>& others) {
+  std::vector<backend_termination> own = one.left;
   for (const candidate& other : others) {
     if (other.suspect != one.suspect) {
       erase_shared(own, other.left);
@@ -133,9 +134,10 @@
   return own;
 }
 
-void end_history::erase_shared(std::vector<backend_end>& ends, const std::vector<backend_end>& others) {
-  std::erase_if(ends, [&others](const backend_end& end) {
-    return std::any_of(others.begin(), others.end(), [&end](const backend_end& other) { return same_end(end, other); });
+void end_history::erase_shared(std::vector<backend_termination>& ends, const std::vector<backend_termination>& others) {
+  std::erase_if(ends, [&others](const backend_termination& end) {
+    return std::any_of(others.begin(), others.end(),
+                       [&end](const backend_termination& other) { return same_end(end, other); });
   });
 }
 
@@ -147,7 +149,7 @@
     if (known.ends.size() < kMaxEnds || fatal.contains(request)) {
       continue;
     }
-    std::vector<backend_end> left = known.ends;
+    std::vector<backend_termination> left = known.ends;
     for (const request_fingerprint& other : fatal) {
       erase_shared(left, requests_.at(other).ends);
     }
@@ -160,7 +162,7 @@
 
 void end_history::drop_explained(classification& found) const {
   std::erase_if(found.ambiguous, [this, &found](const request_fingerprint& request) {
-    std::vector<backend_end> left = requests_.at(request).ends;
+    std::vector<backend_termination> left = requests_.at(request).ends;
     for (const request_fingerprint& other : found.fatal) {
       if (other != request) {
         erase_shared(left, requests_.at(other).ends);
@@ -179,7 +181,7 @@
   return *classification_;
 }
 
-bool end_history::holds_back(const request_fingerprint& request) const {
+bool end_history::is_quarantined(const request_fingerprint& request) const {
   return ends(request) >= kEndsToHoldBack && classified().fatal.contains(request);
 }
 
@@ -195,7 +197,7 @@
     if (known == nullptr || other == request) {
       continue;
     }
-    std::vector<backend_end> left = known->ends;
+    std::vector<backend_termination> left = known->ends;
     erase_shared(left, beside.ends);
     const std::size_t shared = known->ends.size() - left.size();
     if (const std::pair weight(shared, beside.ends.size()); shared > 0 && weight > most) {
@@ -206,8 +208,8 @@
   return found;
 }
 
-bool end_history::beyond_doubt(const request_fingerprint& request) const {
-  return holds_back(request) && ends(request) > kEndsToHoldBack;
+bool end_history::is_confirmed_fatal(const request_fingerprint& request) const {
+  return is_quarantined(request) && ends(request) > kEndsToHoldBack;
 }
 
 bool end_history::clear_ends_until(const request_fingerprint& request, UnixMilliseconds at) {
@@ -222,7 +224,7 @@
 }
 
 std::size_t end_history::erase_ends_before_answer(suspected_request& known) {
-  return std::erase_if(known.ends, [&known](const backend_end& end) { return end.at <= known.answered_at; });
+  return std::erase_if(known.ends, [&known](const backend_termination& end) { return end.at <= known.answered_at; });
 }
 
 bool end_history::merge(const suspected_request& other, UnixMilliseconds now) {
@@ -230,7 +232,7 @@
   // old terminations valid also on a node that has no entry for the request.
   const bool forgotten = other.last_event_at() + kRetentionMs < now;
   bool changed = false;
-  for (const backend_end& end : other.ends) {
+  for (const backend_termination& end : other.ends) {
     changed = (!forgotten && record(other.request, end, end.at)) || changed;
   }
   const auto entry = requests_.find(other.request);
@@ -266,8 +268,8 @@
 }
 
 std::size_t end_history::held_back() const {
-  return static_cast<std::size_t>(
-      std::count_if(requests_.begin(), requests_.end(), [this](const auto& entry) { return holds_back(entry.first); }));
+  return static_cast<std::size_t>(std::count_if(requests_.begin(), requests_.end(),
+                                                [this](const auto& entry) { return is_quarantined(entry.first); }));
 }
 
 bool end_history::is_in_digest(const suspected_request& request) { return request.ends.size() + 1 >= kEndsToHoldBack; }
@@ -298,7 +300,7 @@
     if (!is_in_digest(known)) {
       continue;
     }
-    for (const backend_end& end : known.ends) {
+    for (const backend_termination& end : known.ends) {
       sum += stable_hash(request.str() + end.backend.str(), end.at * 2 + (end.advanced ? 1 : 0));
     }
   }
--- a/src/quarantine/end_history.hpp
+++ b/src/quarantine/end_history.hpp
@@ -19,18 +19,18 @@
 using UnixMilliseconds = std::uint64_t;
 
 /// A termination of a back end, called end in messages, stored data and metrics.
-struct backend_end {
+struct backend_termination {
   BackendId backend;
   UnixMilliseconds at = 0;
   bool advanced = false;  ///< The request had been producing output for a while, so another one is the likelier cause.
-  auto operator<=>(const backend_end&) const = default;
+  auto operator<=>(const backend_termination&) const = default;
 };
 
 /// A request and the back ends that terminated while running it.
 struct suspected_request {
   routing::request_fingerprint request;
-  std::vector<backend_end> ends;     ///< The earliest kMaxEnds terminations after answered_at, in order of time.
-  UnixMilliseconds answered_at = 0;  ///< When a run of it last completed successfully; 0 if none is known.
+  std::vector<backend_termination> ends;  ///< The earliest kMaxEnds terminations after answered_at, in order of time.
+  UnixMilliseconds answered_at = 0;       ///< When a run of it last completed successfully; 0 if none is known.
   UnixMilliseconds held_back_at = 0;
 
   /// @return the time of the latest known event: a termination, a successful run or a refusal.
@@ -63,7 +63,7 @@
 
   /// Records that @p end happened while @p request was running.
   /// @return whether this changed the stored data.
-  bool record(const routing::request_fingerprint& request, const backend_end& end, UnixMilliseconds now);
+  bool record(const routing::request_fingerprint& request, const backend_termination& end, UnixMilliseconds now);
   /// Records that a run of @p request completed successfully at @p at. Earlier terminations are removed, since other
   /// requests must have caused them.
   /// @return whether there were any.
@@ -78,7 +78,7 @@
   /// @return the entry of @p request; null if there is none.
   const suspected_request* find(const routing::request_fingerprint& request) const;
   std::size_t ends(const routing::request_fingerprint& request) const;
-  bool holds_back(const routing::request_fingerprint& request) const;
+  bool is_quarantined(const routing::request_fingerprint& request) const;
   /// @return whether @p request has three or more early terminations that it shares with requests that have as many:
   ///         one of these caused the terminations, but it is not known yet which.
   bool is_ambiguous(const routing::request_fingerprint& request) const;
@@ -87,7 +87,7 @@
       const routing::request_fingerprint& request) const;
   /// @return whether @p request is quarantined and has more than three terminations: another back end terminated when
   ///         it was retried once, or five terminated in all.
-  bool beyond_doubt(const routing::request_fingerprint& request) const;
+  bool is_confirmed_fatal(const routing::request_fingerprint& request) const;
   bool empty() const { return requests_.empty(); }
   std::size_t size() const { return requests_.size(); }
   /// @return the number of requests that are quarantined.
@@ -105,8 +105,8 @@
   static bool is_in_digest(const suspected_request& request);
   /// @return whether @p request is sent to nodes that differ: compared entries and those that completed successfully.
   static bool is_shared(const suspected_request& request);
-  static bool is_earlier(const backend_end& one, const backend_end& other);
-  static bool same_end(const backend_end& one, const backend_end& other);
+  static bool is_earlier(const backend_termination& one, const backend_termination& other);
+  static bool same_end(const backend_termination& one, const backend_termination& other);
   /// Removes the terminations that precede the last successful run.
   /// @return how many were removed.
   static std::size_t erase_ends_before_answer(suspected_request& known);
@@ -114,7 +114,7 @@
   /// A request and those of its early terminations that no request with more of them explains.
   struct candidate {
     const suspected_request* suspect = nullptr;
-    std::vector<backend_end> left;  ///< The early terminations that are not explained by other requests.
+    std::vector<backend_termination> left;  ///< The early terminations that are not explained by other requests.
   };
   struct classification {
     std::set<routing::request_fingerprint> fatal;      ///< Requests to quarantine.
@@ -126,8 +126,8 @@
   /// @p found: those that have three which they do not share are fatal.
   static void classify_round(const std::vector<candidate>& round, classification& found);
   /// @return the remaining terminations of @p one that none of @p others shares.
-  static std::vector<backend_end> unshared_ends(const candidate& one, const std::vector<candidate>& others);
-  static void erase_shared(std::vector<backend_end>& ends, const std::vector<backend_end>& others);
+  static std::vector<backend_termination> unshared_ends(const candidate& one, const std::vector<candidate>& others);
+  static void erase_shared(std::vector<backend_termination>& ends, const std::vector<backend_termination>& others);
   void add_with_max_ends(std::set<routing::request_fingerprint>& fatal) const;
   /// Keeps among the ambiguous requests only those with three terminations that no fatal request explains.
   void drop_explained(classification& found) const;
--- a/src/quarantine/held_back_marks.cpp
+++ b/src/quarantine/held_back_marks.cpp
@@ -15,7 +15,7 @@
 
 json::object format_mark(const suspected_request& mark) {
   json::array ends;
-  for (const backend_end& end : mark.ends) {
+  for (const backend_termination& end : mark.ends) {
     ends.push_back(json::object{{"backend", end.backend.str()}, {"at_ms", end.at}, {"advanced", end.advanced}});
   }
   return json::object{{"high", mark.request.high()},
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -39,7 +39,7 @@
   message->low = known.request.low();
   message->answered_at_ms = known.answered_at;
   message->held_back_at_ms = known.held_back_at;
-  for (const backend_end& end : known.ends) {
+  for (const backend_termination& end : known.ends) {
     auto reported = std::make_unique<wire::BackendEndT>();
     reported->backend = end.backend.str();
     reported->at_ms = end.at;
@@ -75,7 +75,7 @@
       delivery_(
           environment, counters, log, senders_,
           [this](const std::vector<request_fingerprint>& requests) { return compose_news(requests); },
-          guards.bound_answers) {
+          guards.abandon_unacknowledged) {
   detector_.on_late_end = lifetime_.guard([this](const routing::broken_call& call) { record_end(call); });
 }
 
@@ -87,7 +87,7 @@
 
 /// A single comparison may be lost, and the node would then send requests that other nodes quarantine.
 void request_quarantine::request_list_at_start() {
-  if (list_received_ || !guards_.tell_others || environment_.now() - started_at_ > kListRequestPeriod) {
+  if (list_received_ || !guards_.report_terminations || environment_.now() - started_at_ > kListRequestPeriod) {
     return;
   }
   const std::vector<PeerAddress> peers = senders_();
@@ -98,7 +98,7 @@
   environment_.after(kListRequestInterval, lifetime_.guard([this] { request_list_at_start(); }));
 }
 
-void request_quarantine::keep_in(ledger::Storage& storage) {
+void request_quarantine::store_in(ledger::Storage& storage) {
   storage_ = &storage;
   const Result<std::optional<wire::Bytes>> stored = storage.get(kStoredKey);
   if (!succeeded(stored)) {
@@ -116,8 +116,8 @@
   stored_digest_ = history_.digest();
 }
 
-void request_quarantine::mark_in(object_store::PlatformClient& platform) {
-  if (!guards_.mark_in_store) {
+void request_quarantine::list_in_store(object_store::PlatformClient& platform) {
+  if (!guards_.list_in_store_enabled) {
     return;
   }
   marks_ = std::make_unique<held_back_marks>(
@@ -177,11 +177,11 @@
   }));
 }
 
-bool request_quarantine::holds_back(const request_fingerprint& request, const std::string& id) {
-  if (!guards_.hold_back || !history_.holds_back(request)) {
+bool request_quarantine::is_quarantined(const request_fingerprint& request, const std::string& id) {
+  if (!guards_.hold_back || !history_.is_quarantined(request)) {
     return false;
   }
-  if (!guards_.bound_answers && delivery_.awaits_acknowledgement(request)) {
+  if (!guards_.abandon_unacknowledged && delivery_.awaits_acknowledgement(request)) {
     return false;
   }
   const UnixMilliseconds now = environment_.unix_milliseconds();
@@ -195,10 +195,10 @@
   return true;
 }
 
-Duration request_quarantine::undecided_for(const request_fingerprint& request) const {
+Duration request_quarantine::undecided_wait(const request_fingerprint& request) const {
   const suspected_request* known = history_.find(request);
   const bool several = known != nullptr && known->ends.size() + 1 >= end_history::kEndsToHoldBack;
-  if (!several || !guards_.hold_back || !guards_.await_news || known->ends.size() >= end_history::kMaxEnds) {
+  if (!several || !guards_.hold_back || !guards_.await_reports || known->ends.size() >= end_history::kMaxEnds) {
     return Duration::zero();
   }
   const auto changed = changed_at_.find(request);
@@ -219,7 +219,7 @@
 
 void request_quarantine::log_released() {
   std::erase_if(quarantined_, [this](const request_fingerprint& request) {
-    if (history_.holds_back(request)) {
+    if (history_.is_quarantined(request)) {
       return false;
     }
     log_not_held_back("request_released", request, "heard");
@@ -240,7 +240,7 @@
                       {"learned", learned}});
 }
 
-bool request_quarantine::allows_retrial(const request_fingerprint& request) const {
+bool request_quarantine::allows_isolated_retry(const request_fingerprint& request) const {
   const suspected_request* known = history_.find(request);
   const bool one_more = known != nullptr && known->ends.size() == end_history::kEndsToHoldBack;
   return one_more && known->ends.back().at + kRetrialAfterMs < environment_.unix_milliseconds();
@@ -259,7 +259,7 @@
   if (is_leaving_(call.backend)) {
     return;
   }
-  const bool before = history_.holds_back(call.request);
+  const bool before = history_.is_quarantined(call.request);
   const UnixMilliseconds now = environment_.unix_milliseconds();
   if (!history_.record(call.request, {call.backend, now, call.answered_for >= kAdvancedAfter}, now)) {
     return;
@@ -288,13 +288,13 @@
     return;
   }
   // Wait until the request is decided: for a moment, harmless requests that ran beside it have as many terminations.
-  if (const Duration wait = undecided_for(request); wait > Duration::zero()) {
+  if (const Duration wait = undecided_wait(request); wait > Duration::zero()) {
     environment_.after(wait,
                        lifetime_.guard([this, request, learned] { hold_back_when_decided(request, false, learned); }));
     return;
   }
   const suspected_request& known = *history_.find(request);
-  if (!history_.holds_back(request)) {
+  if (!history_.is_quarantined(request)) {
     log_not_held_back("request_not_quarantined", request, learned);
     return;
   }
@@ -313,7 +313,7 @@
 }
 
 void request_quarantine::queue_report(const request_fingerprint& request) {
-  if (!guards_.tell_others) {
+  if (!guards_.report_terminations) {
     return;
   }
   to_send_.push_back(request);
@@ -345,7 +345,7 @@
 }
 
 void request_quarantine::merge_reports(const suspected_request& reported, std::string_view learned) {
-  const bool before = history_.holds_back(reported.request);
+  const bool before = history_.is_quarantined(reported.request);
   if (history_.merge(reported, environment_.unix_milliseconds())) {
     counters_["quarantine_news_taken_total"]++;
     on_entry_changed(reported.request);
@@ -395,7 +395,7 @@
   counters_["quarantine_requests_held_back"] = static_cast<CounterValue>(history_.held_back());
   const std::vector<PeerAddress> peers = senders_();
   const bool requests_lists = history_.digest() == 0 && environment_.now() - started_at_ < kNoComparisonAfterStart;
-  if (peers.empty() || requests_lists || !guards_.tell_others) {
+  if (peers.empty() || requests_lists || !guards_.report_terminations) {
     return;
   }
   wire::SuspicionDigestT message;
@@ -405,7 +405,7 @@
 
 void request_quarantine::handle(const PeerAddress& sender, const wire::SuspicionDigestT& message) {
   const bool too_soon = sent_shared_at_.count() != 0 && environment_.now() - sent_shared_at_ < kMinListInterval;
-  if (message.digest == history_.digest() || too_soon || !guards_.tell_others) {
+  if (message.digest == history_.digest() || too_soon || !guards_.report_terminations) {
     return;
   }
   sent_shared_at_ = environment_.now();
--- a/src/quarantine/request_quarantine.hpp
+++ b/src/quarantine/request_quarantine.hpp
@@ -17,12 +17,12 @@
 
 /// Rules of the quarantine that tests can switch off; all are on in the daemon.
 struct quarantine_guards {
-  bool hold_back = true;      ///< A request under which three back ends have terminated is not sent again.
-  bool tell_others = true;    ///< Each termination is sent to the other nodes.
-  bool await_news = true;     ///< No decision is made while other nodes may still report related terminations.
-  bool mark_in_store = true;  ///< Requests that are quarantined are listed in the platform's store.
+  bool hold_back = true;              ///< A request under which three back ends have terminated is not sent again.
+  bool report_terminations = true;    ///< Each termination is sent to the other nodes.
+  bool await_reports = true;          ///< No decision is made while other nodes may still report related terminations.
+  bool list_in_store_enabled = true;  ///< Requests that are quarantined are listed in the platform's store.
   /// Unacknowledged updates are abandoned and do not delay quarantining a request: earlier versions never acknowledge.
-  bool bound_answers = true;
+  bool abandon_unacknowledged = true;
 };
 
 /// Each termination is sent to all nodes that send requests until each has acknowledged it. A node that missed updates
@@ -43,19 +43,19 @@
   void start();
   /// Loads the shared entries from @p storage and from now on keeps them there. They survive a loss of power on all
   /// machines, after which each fatal request would otherwise crash three more engines. @p storage outlives this.
-  void keep_in(ledger::Storage& storage);
+  void store_in(ledger::Storage& storage);
   /// Loads the list of quarantined requests from the platform's store and from now on adds to it the requests under
   /// which this node saw back ends terminate. This covers the case that a single node without a disk knows of a request
   /// while all others are stopped or have lost power. @p platform outlives this.
-  void mark_in(object_store::PlatformClient& platform);
+  void list_in_store(object_store::PlatformClient& platform);
 
-  bool remembers_any() const override { return !history_.empty(); }
+  bool has_records() const override { return !history_.empty(); }
   bool suspects(const routing::request_fingerprint& request) const override { return history_.ends(request) > 0; }
-  bool holds_back(const routing::request_fingerprint& request, const std::string& id) override;
-  bool allows_retrial(const routing::request_fingerprint& request) const override;
-  Duration undecided_for(const routing::request_fingerprint& request) const override;
-  bool beyond_doubt(const routing::request_fingerprint& request) const override {
-    return history_.beyond_doubt(request);
+  bool is_quarantined(const routing::request_fingerprint& request, const std::string& id) override;
+  bool allows_isolated_retry(const routing::request_fingerprint& request) const override;
+  Duration undecided_wait(const routing::request_fingerprint& request) const override;
+  bool is_confirmed_fatal(const routing::request_fingerprint& request) const override {
+    return history_.is_confirmed_fatal(request);
   }
   void call_broke(const routing::broken_call& call, decided done) override;
   void call_answered(const routing::request_fingerprint& request) override;
