--- a/src/routing/backend.hpp
+++ b/src/routing/backend.hpp
@@ -116,7 +116,7 @@
   std::uint32_t waiting = 0;
   bool leaving = false;
   std::uint64_t started_unix_ms = 0;  ///< Start of the back end's process; 0: unknown.
-  bool kinds_told_apart = true;       ///< If false, running_online includes batch work.
+  bool separates_batch = true;        ///< If false, running_online includes batch work.
 };
 
 using ReportDone = std::function<void(std::optional<LoadReport>)>;
--- a/src/routing/call_announcer.cpp
+++ b/src/routing/call_announcer.cpp
@@ -5,7 +5,7 @@
 namespace madderdeck::routing {
 namespace {
 
-constexpr Duration kRefresh = 1s;
+constexpr Duration kCompleteReportInterval = 1s;
 /// In each delay the fleet sends one message per pair of nodes, so the delay grows with the number of pairs.
 constexpr Duration kDelayPerPeerPair = 800us;
 constexpr Duration kMinAnnounceDelay = 5ms;
@@ -37,7 +37,7 @@
 void call_announcer::start() { refresh(); }
 
 void call_announcer::refresh() {
-  environment_.after(kRefresh, lifetime_.guard([this] { refresh(); }));
+  environment_.after(kCompleteReportInterval, lifetime_.guard([this] { refresh(); }));
   const auto peers = static_cast<int>(std::min(announce_peers_().size(), kMaxAnnouncePeers));
   delay_ = std::clamp(kDelayPerPeerPair * (peers * peers), kMinAnnounceDelay, kMaxAnnounceDelay);
   tell(true);
@@ -66,7 +66,7 @@
     auto entry = std::make_unique<wire::EngineCallsT>();
     entry->engine = id.str();
     entry->live = backend == nullptr ? 0 : backend->online_in_flight;
-    entry->live += backend != nullptr && owns_(id) ? registry_.unexplained(*backend) : 0;
+    entry->live += backend != nullptr && owns_(id) ? registry_.unattributed(*backend) : 0;
     entry->batch = backend == nullptr ? 0 : backend->batch_in_flight;
     message.engines.push_back(std::move(entry));
   };
@@ -74,8 +74,8 @@
     wire::EngineActivityT message = message_of(node_, time_to_yield_, complete);
     if (complete) {
       for (const auto& [id, backend] : registry_.backends()) {
-        const std::uint32_t unexplained = owns_(id) ? registry_.unexplained(backend) : 0;
-        if (backend.online_in_flight + backend.batch_in_flight + unexplained > 0) {
+        const std::uint32_t unattributed = owns_(id) ? registry_.unattributed(backend) : 0;
+        if (backend.online_in_flight + backend.batch_in_flight + unattributed > 0) {
           add(message, id, &backend);
         }
       }
--- a/src/routing/claims.cpp
+++ b/src/routing/claims.cpp
@@ -14,10 +14,10 @@
          "/" + tenant;
 }
 
-ClaimBook::ClaimBook(Environment& environment, ledger::Client& ledger, ClaimGuards guards)
+ClaimStore::ClaimStore(Environment& environment, ledger::Client& ledger, ClaimGuards guards)
     : environment_(environment), ledger_(ledger), guards_(guards) {}
 
-void ClaimBook::claim(const ClaimKey& key, std::uint64_t attempt, std::uint64_t fingerprint, ClaimDone done) {
+void ClaimStore::claim(const ClaimKey& key, std::uint64_t attempt, std::uint64_t fingerprint, ClaimDone done) {
   wire::ClaimRecordT mine;
   mine.state = wire::ClaimState::Claimed;
   mine.attempt = attempt;
@@ -51,7 +51,7 @@
   });
 }
 
-void ClaimBook::look_up(const ClaimKey& key, ClaimDone done) {
+void ClaimStore::look_up(const ClaimKey& key, ClaimDone done) {
   ledger_.read(key.ledger_key(), [done](Result<ledger::OptionalValue> result) {
     if (!succeeded(result)) {
       done(error_of(result));
@@ -70,17 +70,17 @@
   });
 }
 
-void ClaimBook::record_answer(const ClaimKey& key, std::uint64_t attempt, unsigned http_status, const std::string& body,
-                              Finished done) {
+void ClaimStore::record_answer(const ClaimKey& key, std::uint64_t attempt, unsigned http_status,
+                               const std::string& body, Finished done) {
   transition(key, attempt, wire::ClaimState::Done, http_status, body, kTransitionTries, std::move(done));
 }
 
-void ClaimBook::release(const ClaimKey& key, std::uint64_t attempt, Finished done) {
+void ClaimStore::release(const ClaimKey& key, std::uint64_t attempt, Finished done) {
   transition(key, attempt, wire::ClaimState::Released, 0, "", kTransitionTries, std::move(done));
 }
 
-void ClaimBook::transition(const ClaimKey& key, std::uint64_t attempt, wire::ClaimState state, unsigned http_status,
-                           const std::string& body, unsigned tries_left, Finished done) {
+void ClaimStore::transition(const ClaimKey& key, std::uint64_t attempt, wire::ClaimState state, unsigned http_status,
+                            const std::string& body, unsigned tries_left, Finished done) {
   const auto update = [attempt, state, http_status,
                        body](const ledger::OptionalValue& current) -> ledger::OptionalValue {
     if (!current) {
--- a/src/routing/claims.hpp
+++ b/src/routing/claims.hpp
@@ -29,9 +29,9 @@
 };
 
 /// Reads and writes claims. Single threaded.
-class ClaimBook {
+class ClaimStore {
  public:
-  ClaimBook(Environment& environment, ledger::Client& ledger, ClaimGuards guards = {});
+  ClaimStore(Environment& environment, ledger::Client& ledger, ClaimGuards guards = {});
 
   using ClaimDone = std::function<void(Result<ClaimResult>)>;
   using Finished = std::function<void(bool stored)>;
--- a/src/routing/live_router.cpp
+++ b/src/routing/live_router.cpp
@@ -52,7 +52,7 @@
   return untried.empty() && active.delivered > 0 ? found : untried;
 }
 
-EngineCall LiveRouter::call_of(const Active& active) {
+EngineCall LiveRouter::engine_call_for(const Active& active) {
   EngineCall call;
   call.attempt = active.attempt;
   call.model = active.request.model;
@@ -63,15 +63,15 @@
 }
 
 bool LiveRouter::held_back(LiveId id) {
-  return repeats_ != nullptr && repeats_->remembers_any() &&
-         repeats_->holds_back(fingerprint_of(call_of(requests_.at(id))), std::to_string(id));
+  return repeats_ != nullptr && repeats_->has_records() &&
+         repeats_->is_quarantined(fingerprint_of(engine_call_for(requests_.at(id))), std::to_string(id));
 }
 
 bool LiveRouter::wait_if_undecided(LiveId id) {
-  if (repeats_ == nullptr || !repeats_->remembers_any()) {
+  if (repeats_ == nullptr || !repeats_->has_records()) {
     return false;
   }
-  const Duration wait = repeats_->undecided_for(fingerprint_of(call_of(requests_.at(id))));
+  const Duration wait = repeats_->undecided_wait(fingerprint_of(engine_call_for(requests_.at(id))));
   if (wait <= Duration::zero()) {
     return false;
   }
@@ -99,23 +99,25 @@
     refuse(id, ErrorKind::unavailable, "no engine accepts requests for " + active.request.model, kRetryAfterOutage);
     return;
   }
-  const double sharing = registry_.sharing(active.request.model);
-  std::erase_if(open, [this, sharing](const Backend* backend) {
-    return backend->online_in_flight * sharing * 100 >= backend->machine.slots * policy_.online_queue_percent;
+  const double gateways_per_engine = registry_.gateways_per_engine(active.request.model);
+  std::erase_if(open, [this, gateways_per_engine](const Backend* backend) {
+    return backend->online_in_flight * gateways_per_engine * 100 >=
+           backend->machine.slots * policy_.online_queue_percent;
   });
   if (open.empty()) {
     counters_["live_refused_saturated_total"]++;
     refuse(id, ErrorKind::limit_exceeded, "all engines for " + active.request.model + " are full", kRetryAfterBusy);
     return;
   }
-  Backend& backend = picker_->pick({open, active.request.prompt, environment_.now(), environment_.random(), sharing});
+  Backend& backend =
+      picker_->pick({open, active.request.prompt, environment_.now(), environment_.random(), gateways_per_engine});
   active.engine = backend.machine.id;
   active.tried.insert(active.engine);
   active.attempt = environment_.random();
   active.attempt_started = environment_.now();
   active.first_token_at.reset();
   on_activity_(active.engine, ++backend.online_in_flight);
-  const EngineCall call = call_of(active);
+  const EngineCall call = engine_call_for(active);
   const std::uint64_t attempt = active.attempt;
   EngineEvents events;
   events.token = lifetime_.guard(
@@ -168,8 +170,8 @@
   auto node = requests_.extract(id);
   release_engine(node.mapped());
   registry_.on_success(node.mapped().engine);
-  if (repeats_ != nullptr && repeats_->remembers_any()) {
-    repeats_->call_answered(fingerprint_of(call_of(node.mapped())));
+  if (repeats_ != nullptr && repeats_->has_records()) {
+    repeats_->call_answered(fingerprint_of(engine_call_for(node.mapped())));
   }
   counters_["live_answered_total"]++;
   node.mapped().events.finished(node.mapped().delivered);
@@ -196,7 +198,8 @@
   }
   const Timestamp now = environment_.now();
   const Duration answered_for = now - active.first_token_at.value_or(now);
-  const broken_call broken{fingerprint_of(call_of(active)), std::to_string(attempt), active.engine, answered_for};
+  const broken_call broken{fingerprint_of(engine_call_for(active)), std::to_string(attempt), active.engine,
+                           answered_for};
   active.attempt = 0;
   // The slot is released; a time-out or a cancel before the next attempt must not release it again.
   active.engine = BackendId();
--- a/src/routing/live_router.hpp
+++ b/src/routing/live_router.hpp
@@ -59,7 +59,7 @@
   void resume(LiveId id);
   std::size_t active() const { return requests_.size(); }
   /// From now on, requests that terminate the engines that run them are not sent again. @p guard must outlive this.
-  void use_repeat_guard(repeat_guard& guard) { repeats_ = &guard; }
+  void set_repeat_guard(repeat_guard& guard) { repeats_ = &guard; }
 
  private:
   struct Active {
@@ -74,7 +74,7 @@
     std::uint64_t attempt = 0;
     std::set<BackendId> tried;
     bool maybe_ran = false;
-    call_breaks breaks;
+    break_history breaks;
     CallFailure last_failure = CallFailure::refused;
   };
 
@@ -88,7 +88,7 @@
   bool is_current(LiveId id, std::uint64_t attempt) const;
   void retry_or_end(LiveId id);
   /// @return the engine call for the tokens that @p active has not delivered yet.
-  static EngineCall call_of(const Active& active);
+  static EngineCall engine_call_for(const Active& active);
   /// Postpones the attempt while the repeat guard cannot say yet whether the request may be sent.
   /// @return whether the attempt was postponed.
   bool wait_if_undecided(LiveId id);
--- a/src/routing/picker.cpp
+++ b/src/routing/picker.cpp
@@ -7,15 +7,15 @@
 namespace madderdeck::routing {
 namespace {
 constexpr Duration kSlowStart = 3s;
-constexpr Duration kReportUseful = 1s;
+constexpr Duration kLoadReportMaxAge = 1s;
 constexpr std::size_t kPrefixBytes = 256;
 constexpr double kAffinityLoadSlack = 0.25;  ///< Allowed load above the average, as a share of an engine's slots.
 constexpr double kSlowFactor = 2.0;          ///< An engine is slow if its latency exceeds the median by this factor.
 }  // namespace
 
-double load_of(const Backend& backend, Timestamp now, double sharing) {
-  const double own = backend.online_in_flight * sharing;
-  const bool fresh = backend.reported_at.count() != 0 && now - backend.reported_at < kReportUseful;
+double load_of(const Backend& backend, Timestamp now, double gateways_per_engine) {
+  const double own = backend.online_in_flight * gateways_per_engine;
+  const bool fresh = backend.reported_at.count() != 0 && now - backend.reported_at < kLoadReportMaxAge;
   const double reported = fresh ? backend.report.running_online + backend.report.waiting : 0;
   double load = std::max(own, reported) / backend.machine.slots;
   const Duration age = now - backend.added_at;
@@ -31,7 +31,9 @@
   const std::size_t count = input.candidates.size();
   Backend& first = *input.candidates[input.random % count];
   Backend& second = *input.candidates[(input.random >> 32) % count];
-  return load_of(first, input.now, input.sharing) <= load_of(second, input.now, input.sharing) ? first : second;
+  return load_of(first, input.now, input.gateways_per_engine) <= load_of(second, input.now, input.gateways_per_engine)
+             ? first
+             : second;
 }
 
 Backend& PrefixAffinityPicker::pick(const PickInput& input) {
@@ -39,7 +41,7 @@
   double total = 0;
   std::vector<double> latencies;
   for (const Backend* candidate : input.candidates) {
-    total += load_of(*candidate, input.now, input.sharing);
+    total += load_of(*candidate, input.now, input.gateways_per_engine);
     latencies.push_back(candidate->latency_ms);
   }
   std::nth_element(latencies.begin(), latencies.begin() + static_cast<std::ptrdiff_t>(latencies.size() / 2),
@@ -52,7 +54,7 @@
     const bool slow = median > 0 && candidate->latency_ms > kSlowFactor * median + 1.0;
     // A slow engine still gets one request in 64, so that its recovery is noticed.
     const bool skip_slow = slow && input.random % 64 != 0;
-    if (skip_slow || load_of(*candidate, input.now, input.sharing) > bound) {
+    if (skip_slow || load_of(*candidate, input.now, input.gateways_per_engine) > bound) {
       continue;
     }
     const std::uint64_t weight = rendezvous_weight(prefix, candidate->machine.id.str());
@@ -64,10 +66,11 @@
   if (best != nullptr) {
     return *best;
   }
-  return **std::min_element(
-      input.candidates.begin(), input.candidates.end(), [&](const Backend* left, const Backend* right) {
-        return load_of(*left, input.now, input.sharing) < load_of(*right, input.now, input.sharing);
-      });
+  return **std::min_element(input.candidates.begin(), input.candidates.end(),
+                            [&](const Backend* left, const Backend* right) {
+                              return load_of(*left, input.now, input.gateways_per_engine) <
+                                     load_of(*right, input.now, input.gateways_per_engine);
+                            });
 }
 
 std::unique_ptr<Picker> make_picker(config::RoutingPolicyName name) {
--- a/src/routing/picker.hpp
+++ b/src/routing/picker.hpp
@@ -17,7 +17,7 @@
   std::string_view prompt;
   Timestamp now{};
   std::uint64_t random = 0;
-  double sharing = 1;  ///< Average number of gateways that use the same engine.
+  double gateways_per_engine = 1;  ///< Average number of gateways that use the same engine.
 };
 
 /// Chooses one of the candidates. A policy may keep state; single threaded.
@@ -52,8 +52,8 @@
 std::unique_ptr<Picker> make_picker(config::RoutingPolicyName name);
 
 /// @return the estimated load of @p backend per slot, raised for a new back end. The estimate is the greater of two
-///         numbers: this node's own calls, which are known exactly, times @p sharing; and the load that the back end
-///         reported, which is out of date.
-double load_of(const Backend& backend, Timestamp now, double sharing);
+///         numbers: this node's own calls, which are known exactly, times @p gateways_per_engine; and the load that the
+///         back end reported, which is out of date.
+double load_of(const Backend& backend, Timestamp now, double gateways_per_engine);
 
 }  // namespace madderdeck::routing
--- a/src/routing/registry.cpp
+++ b/src/routing/registry.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kBaseEjectionTime = 2s;
 constexpr std::uint32_t kMaxEjectionDoublings = 4;
 constexpr Duration kReportFresh = 3s;
-constexpr Duration kExcessHolds = 1s;
+constexpr Duration kUnattributedValidFor = 1s;
 constexpr double kLatencySmoothing = 0.2;
 constexpr std::size_t kMaxEjectedDivisor = 2;  ///< At most one in this many back ends of a pool is ejected.
 /// Entries that disappear within this time count as having disappeared together.
@@ -147,7 +147,7 @@
   }
 }
 
-bool Registry::lives_on(const BackendId& id, std::uint64_t life) const {
+bool Registry::is_incarnation(const BackendId& id, std::uint64_t life) const {
   const auto backend = backends_.find(id);
   return backend != backends_.end() && backend->second.life == life;
 }
@@ -208,7 +208,7 @@
   }
   const lapse how = *backend->unlisted;
   const Duration left = grace_period_left(*backend);
-  if (left.count() > 0 || !guards_.end_doubts) {
+  if (left.count() > 0 || !guards_.bound_grace_period) {
     // Checked again before the time is over: it shortens once other back ends of the pool are listed again.
     const Duration look = std::clamp(left, Duration(1ms), kGracePeriodCheckInterval);
     environment_.after(look, lifetime_.guard([this, id] { end_grace_period(id); }));
@@ -235,7 +235,7 @@
   std::swap(evacuated_, zones);
   for (const std::string& zone : zones) {
     if (!evacuated_.contains(zone)) {
-      note_possible_starts(zone);
+      note_possible_restarts(zone);
     }
   }
   ++version_;
@@ -252,7 +252,7 @@
     return false;
   }
   // Its time is over, even if end_grace_period has not run yet.
-  if (backend.unlisted && guards_.end_doubts && grace_period_left(backend).count() <= 0) {
+  if (backend.unlisted && guards_.bound_grace_period && grace_period_left(backend).count() <= 0) {
     return false;
   }
   // No recent report: the back end may have begun to leave meanwhile, or this node was frozen.
@@ -260,10 +260,10 @@
     return false;
   }
   // A back end that said it is leaving gets no work until its own load report says otherwise.
-  return !guards_.honour_refusals || !backend.said_leaving;
+  return !guards_.honour_leaving_reports || !backend.reported_leaving;
 }
 
-double Registry::sharing(const std::string& pool) const {
+double Registry::gateways_per_engine(const std::string& pool) const {
   const std::size_t size = pool_size(pool);
   if (size == 0) {
     return 1;
@@ -342,13 +342,13 @@
   warming_.insert(backend.machine.id);
 }
 
-void Registry::note_possible_start(const BackendId& id) {
+void Registry::note_possible_restart(const BackendId& id) {
   if (Backend* backend = find(id)) {
     warm_up_for(*backend, warm_up_length(*backend));
   }
 }
 
-void Registry::note_possible_starts(const std::string& zone) {
+void Registry::note_possible_restarts(const std::string& zone) {
   for (auto& [id, backend] : backends_) {
     if (backend.machine.zone == zone) {
       warm_up_for(backend, warm_up_length(backend));
@@ -389,7 +389,7 @@
     return 0;
   }
   if (backend->open_calls == 0) {
-    backend->quiet_since = environment_.now();
+    backend->last_data_at = environment_.now();
     with_open_calls_.insert(id);
   }
   ++backend->open_calls;
@@ -398,7 +398,7 @@
 
 void Registry::on_heard(const BackendId& id) {
   if (Backend* backend = find(id)) {
-    backend->quiet_since = environment_.now();
+    backend->last_data_at = environment_.now();
   }
 }
 
@@ -412,10 +412,10 @@
   }
 }
 
-void Registry::on_reading(const BackendId& id, Duration expected) {
+void Registry::on_prefill(const BackendId& id, Duration expected) {
   constexpr Duration kMaxPrefill = 1s;  // limits the value that a peer sends
   if (Backend* backend = find(id)) {
-    backend->reading_until = std::max(backend->reading_until, environment_.now() + std::min(expected, kMaxPrefill));
+    backend->prefill_until = std::max(backend->prefill_until, environment_.now() + std::min(expected, kMaxPrefill));
   }
 }
 
@@ -450,18 +450,18 @@
     return;
   }
   if (failure == CallFailure::leaving) {
-    backend->said_leaving = true;
+    backend->reported_leaving = true;
     counters_["backend_said_leaving_total"]++;
     return;
   }
   if (failure == CallFailure::refused || failure == CallFailure::failed_run) {
     return;  // the back end is busy or answers with errors, but it is reachable
   }
-  if (on_trouble) {
-    on_trouble(id, failure);
+  if (on_call_failure) {
+    on_call_failure(id, failure);
   }
   if (failure == CallFailure::not_sent) {
-    note_possible_start(id);
+    note_possible_restart(id);
   }
   ++backend->consecutive_failures;
   const bool backend_unreachable = failure == CallFailure::not_sent;
@@ -471,8 +471,8 @@
 }
 
 void Registry::on_failure_answer(const BackendId& id) {
-  if (on_trouble && backends_.contains(id)) {
-    on_trouble(id, CallFailure::failed_run);
+  if (on_call_failure && backends_.contains(id)) {
+    on_call_failure(id, CallFailure::failed_run);
   }
 }
 
@@ -500,8 +500,8 @@
   counters_["backend_ejections_total"]++;
 }
 
-std::uint32_t Registry::unexplained(const Backend& backend) const {
-  return environment_.now() - backend.reported_at < kExcessHolds ? backend.unexplained : 0;
+std::uint32_t Registry::unattributed(const Backend& backend) const {
+  return environment_.now() - backend.reported_at < kUnattributedValidFor ? backend.unattributed : 0;
 }
 
 void Registry::on_report(const BackendId& id, const LoadReport& report, Timestamp asked_at) {
@@ -523,12 +523,12 @@
   const std::uint32_t excess = reported > known ? reported - known : 0;
   // The excess of a single report may only mean that the report is out of date, so two must agree.
   const bool first = backend->reported_at.count() == 0;
-  backend->unexplained = first ? excess : std::min(excess, backend->last_unexplained);
-  backend->last_unexplained = excess;
+  backend->unattributed = first ? excess : std::min(excess, backend->last_unattributed);
+  backend->last_unattributed = excess;
   backend->report = report;
-  backend->own_at_report = backend->online_in_flight;
+  backend->online_in_flight_at_report = backend->online_in_flight;
   backend->reported_at = asked_at;
-  backend->said_leaving = report.leaving;
+  backend->reported_leaving = report.leaving;
 }
 
 }  // namespace madderdeck::routing
--- a/src/routing/registry.hpp
+++ b/src/routing/registry.hpp
@@ -21,14 +21,14 @@
 namespace madderdeck::routing {
 
 /// Most back ends that a node may poll or own before it knows the other nodes of the fleet, which share this work.
-inline constexpr std::size_t kMostBackendsBeforeFleet = 256;
+inline constexpr std::size_t kMaxBackendsBeforeFleetKnown = 256;
 
 /// Rules about back ends that leave; always on in the daemon.
 struct RegistryGuards {
   bool honour_machine_list = true;     ///< A back end listed as leaving gets no new work.
-  bool honour_refusals = true;         ///< A back end that answers or reports that it is leaving gets no new work.
+  bool honour_leaving_reports = true;  ///< A back end that answers or reports that it is leaving gets no new work.
   bool need_fresh_reports = true;      ///< A back end without a recent load report gets no new work.
-  bool end_doubts = true;              ///< A back end that is no longer listed is used for a bounded time at most.
+  bool bound_grace_period = true;      ///< A back end that is no longer listed is used for a bounded time at most.
   bool keep_on_mass_delisting = true;  ///< If most entries of a pool disappear together, their back ends stay in use.
 };
 
@@ -44,16 +44,16 @@
   std::uint32_t ejections = 0;  ///< Ejections since the last success; each lasts longer than the one before.
   Timestamp ejected_until{};
   Timestamp added_at{};
-  bool said_leaving = false;           ///< The back end's last refusal or report said that it is leaving.
-  double latency_ms = 0;               ///< Moving average of time to first token.
-  Timestamp latency_at{};              ///< When latency_ms was last updated.
-  std::uint32_t own_at_report = 0;     ///< online_in_flight when the report arrived.
-  std::uint32_t last_unexplained = 0;  ///< Requests in the last load report that no node has reported.
-  std::uint32_t unexplained = 0;       ///< The smaller such excess of the last two, such as requests of crashed nodes.
-  std::uint32_t open_calls = 0;        ///< Forwarded requests in progress.
-  Timestamp reading_until{};           ///< Until then a long prefill for any gateway is probably running.
-  Timestamp quiet_since{};             ///< When a forwarded request last received data, or the first was sent.
-  Timestamp warm_up_until{};           ///< Until then its request rate is limited, if its pool has a warm-up limit.
+  bool reported_leaving = false;                 ///< The back end's last refusal or report said that it is leaving.
+  double latency_ms = 0;                         ///< Moving average of time to first token.
+  Timestamp latency_at{};                        ///< When latency_ms was last updated.
+  std::uint32_t online_in_flight_at_report = 0;  ///< online_in_flight when the report arrived.
+  std::uint32_t last_unattributed = 0;           ///< Requests in the last load report that no node has reported.
+  std::uint32_t unattributed = 0;  ///< The smaller such excess of the last two, such as requests of crashed nodes.
+  std::uint32_t open_calls = 0;    ///< Forwarded requests in progress.
+  Timestamp prefill_until{};       ///< Until then a long prefill for any gateway is probably running.
+  Timestamp last_data_at{};        ///< When a forwarded request last received data, or the first was sent.
+  Timestamp warm_up_until{};       ///< Until then its request rate is limited, if its pool has a warm-up limit.
   /// Set if its entry was listed again shortly after it had disappeared: the back end is not used until then unless it
   /// restarts.
   Timestamp withheld_until{};
@@ -85,9 +85,9 @@
   /// @return the back ends that warm up and may get new work, of the whole @p pool and not only of this node's subset.
   std::vector<Backend*> warming(const std::string& pool);
   /// Call this when @p id failed a call or was unresponsive: it may have restarted, so it is treated as warming up.
-  void note_possible_start(const BackendId& id);
+  void note_possible_restart(const BackendId& id);
   /// Call this when back ends of @p zone may have restarted unnoticed: all of them are treated as warming up.
-  void note_possible_starts(const std::string& zone);
+  void note_possible_restarts(const std::string& zone);
   /// @param count number of gateways in the fleet, including this node.
   void set_gateways(std::size_t count) { gateways_ = count; }
   /// @param age returns how long ago the machine list was certainly complete; for the decision log.
@@ -102,11 +102,11 @@
   /// Sets the calls that the other nodes report; null: none are known.
   void set_shared_calls(const shared_calls* calls) { shared_ = calls; }
   /// @return whether call reports of other nodes have arrived recently.
-  bool knows_calls() const { return shared_ != nullptr && shared_->any_heard(); }
+  bool has_peer_call_reports() const { return shared_ != nullptr && shared_->has_reports(); }
   /// @return the requests in the recent load reports of @p backend that no node has reported.
-  std::uint32_t unexplained(const Backend& backend) const;
+  std::uint32_t unattributed(const Backend& backend) const;
   /// @return the average number of gateways that use one back end of @p pool.
-  double sharing(const std::string& pool) const;
+  double gateways_per_engine(const std::string& pool) const;
 
   Backend* find(const BackendId& id);
   /// @return the number of back ends in @p pool, in any state.
@@ -130,22 +130,22 @@
   /// Has no effect if the back end has restarted since the request was sent.
   void on_ended(const BackendId& id, std::uint64_t life);
   /// @return whether @p id is known and still has the incarnation @p life.
-  bool lives_on(const BackendId& id, std::uint64_t life) const;
+  bool is_incarnation(const BackendId& id, std::uint64_t life) const;
   /// Call this when another gateway has sent a long prompt to @p id; its prefill takes about @p expected.
-  void on_reading(const BackendId& id, Duration expected);
+  void on_prefill(const BackendId& id, Duration expected);
   /// Call this when the first token of a call has arrived after @p milliseconds.
   void on_first_token(const BackendId& id, double milliseconds);
   /// Discards times to the first token that are older than @p age, so that an engine that was slow once is tried again.
   void forget_latencies(Duration age);
   /// Called with the time to the first token of each of this node's own calls; may be empty.
-  std::function<void(const BackendId&, double milliseconds)> on_latency;
+  std::function<void(const BackendId&, double milliseconds)> on_first_token_time;
   /// Call this when a call has ended with a complete answer.
   void on_success(const BackendId& id);
   void on_failure(const BackendId& id, CallFailure failure);
   /// Call this when the back end answered a live call with an error of its own.
   void on_failure_answer(const BackendId& id);
   /// Called for each failure of a call that a healthy back end would have answered; may be empty.
-  std::function<void(const BackendId&, CallFailure)> on_trouble;
+  std::function<void(const BackendId&, CallFailure)> on_call_failure;
   /// @param asked_at when the report was requested. Its age counts from then, since the answer may
   ///        have been queued while this node was frozen.
   void on_report(const BackendId& id, const LoadReport& report, Timestamp asked_at);
--- a/src/routing/repeat_guard.cpp
+++ b/src/routing/repeat_guard.cpp
@@ -2,7 +2,7 @@
 
 namespace madderdeck::routing {
 
-void call_breaks::report(repeat_guard& guard, const broken_call& call, std::function<void()> go_on) {
+void break_history::report(repeat_guard& guard, const broken_call& call, std::function<void()> go_on) {
   const bool waits = broke_before_ || guard.suspects(call.request);
   broke_before_ = true;
   // The call, and with it this object, may be gone by the time the result arrives; the counter is shared.
--- a/src/routing/repeat_guard.hpp
+++ b/src/routing/repeat_guard.hpp
@@ -25,19 +25,19 @@
 
   virtual ~repeat_guard() = default;
   /// @return whether any request is recorded; otherwise callers need not compute fingerprints.
-  virtual bool remembers_any() const = 0;
+  virtual bool has_records() const = 0;
   /// @return whether a back end is known to have terminated while it ran @p request.
   virtual bool suspects(const request_fingerprint& request) const = 0;
   /// @return whether @p request is quarantined and may not be sent. If so, it is counted and logged under @p id.
-  virtual bool holds_back(const request_fingerprint& request, const std::string& id) = 0;
+  virtual bool is_quarantined(const request_fingerprint& request, const std::string& id) = 0;
   /// @return how long the caller must wait until it is known whether @p request may be sent; zero: it is known now.
   ///         After several back ends have terminated, the nodes need a moment to report which requests ran there.
-  virtual Duration undecided_for(const request_fingerprint&) const { return Duration::zero(); }
+  virtual Duration undecided_wait(const request_fingerprint&) const { return Duration::zero(); }
   /// @return whether a quarantined batch item may be retried once, alone on a back end. Otherwise an item that ran next
   ///         to a fatal request three times would be lost with it.
-  virtual bool allows_retrial(const request_fingerprint& request) const = 0;
+  virtual bool allows_isolated_retry(const request_fingerprint& request) const = 0;
   /// @return whether such a retry of @p request has failed too.
-  virtual bool beyond_doubt(const request_fingerprint& request) const = 0;
+  virtual bool is_confirmed_fatal(const request_fingerprint& request) const = 0;
   /// Determines whether the back end terminated, and records it. @p done may run before this returns.
   virtual void call_broke(const broken_call& call, decided done) = 0;
   /// Call this when @p request was answered completely: it does not terminate back ends.
@@ -47,7 +47,7 @@
 /// Counts the back ends that terminated while they ran one call. After a broken connection the call waits until it is
 /// known whether the back end terminated if its request is suspected or if a connection broke under the call before.
 /// Otherwise the call continues immediately.
-class call_breaks {
+class break_history {
  public:
   /// @param go_on runs exactly once, possibly before this returns.
   void report(repeat_guard& guard, const broken_call& call, std::function<void()> go_on);
--- a/src/routing/service_router.cpp
+++ b/src/routing/service_router.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 ServiceRouter::ServiceRouter(Environment& environment, Counters& counters, Registry& registry, BackendClient& client,
-                             ClaimBook& claims, ServiceGuards guards)
+                             ClaimStore& claims, ServiceGuards guards)
     : environment_(environment),
       counters_(counters),
       registry_(registry),
@@ -125,10 +125,10 @@
 }
 
 bool ServiceRouter::wait_if_undecided(RequestId id) {
-  if (repeats_ == nullptr || !repeats_->remembers_any()) {
+  if (repeats_ == nullptr || !repeats_->has_records()) {
     return false;
   }
-  const Duration wait = repeats_->undecided_for(fingerprint_of(requests_.at(id).request));
+  const Duration wait = repeats_->undecided_wait(fingerprint_of(requests_.at(id).request));
   if (wait <= Duration::zero()) {
     return false;
   }
@@ -156,8 +156,8 @@
     return;
   }
   Active& active = requests_.at(id);
-  if (repeats_ != nullptr && repeats_->remembers_any() &&
-      repeats_->holds_back(fingerprint_of(active.request), std::to_string(active.attempt))) {
+  if (repeats_ != nullptr && repeats_->has_records() &&
+      repeats_->is_quarantined(fingerprint_of(active.request), std::to_string(active.attempt))) {
     counters_["service_refused_quarantined_total"]++;
     end_without_answer(id, ErrorKind::quarantined, "back ends terminated each time they ran this request");
     return;
@@ -205,7 +205,7 @@
   release_backend(active);
   registry_.on_success(active.backend);
   counters_["service_answered_total"]++;
-  if (repeats_ != nullptr && repeats_->remembers_any()) {
+  if (repeats_ != nullptr && repeats_->has_records()) {
     repeats_->call_answered(fingerprint_of(active.request));
   }
   if (!active.claimed) {
--- a/src/routing/service_router.hpp
+++ b/src/routing/service_router.hpp
@@ -37,14 +37,14 @@
 class ServiceRouter {
  public:
   ServiceRouter(Environment& environment, Counters& counters, Registry& registry, BackendClient& client,
-                ClaimBook& claims, ServiceGuards guards = {});
+                ClaimStore& claims, ServiceGuards guards = {});
 
   void set_policy(const config::FleetPolicy& policy) { budget_.set_percent(policy.retry_percent); }
   /// Runs one request; @p done is called exactly once.
   void call(ServiceRequest request, ServiceDone done);
   std::size_t active() const { return requests_.size(); }
   /// From now on, requests that terminate the back ends that run them are not sent again. @p guard must outlive this.
-  void use_repeat_guard(repeat_guard& guard) { repeats_ = &guard; }
+  void set_repeat_guard(repeat_guard& guard) { repeats_ = &guard; }
 
  private:
   using RequestId = std::uint64_t;
@@ -56,7 +56,7 @@
     std::set<BackendId> tried;
     bool claimed = false;
     bool maybe_ran = false;
-    call_breaks breaks;
+    break_history breaks;
     Timestamp deadline{};
   };
 
@@ -83,7 +83,7 @@
   Counters& counters_;
   Registry& registry_;
   BackendClient& client_;
-  ClaimBook& claims_;
+  ClaimStore& claims_;
   const ServiceGuards guards_;
   RetryBudget budget_;
   repeat_guard* repeats_ = nullptr;
--- a/src/routing/shared_calls.cpp
+++ b/src/routing/shared_calls.cpp
@@ -16,7 +16,7 @@
   total.live += value.live - known.live;
   total.batch += value.batch - known.batch;
   total.nodes += value.nodes - known.nodes;
-  total.silent_nodes += value.silent_nodes - known.silent_nodes;
+  total.unresponsive_nodes += value.unresponsive_nodes - known.unresponsive_nodes;
   known = value;
 }
 
@@ -49,7 +49,7 @@
   ++more.live;
   more.nodes = 1;
   replace(known, engine, more);
-  expected_.push_back({node, engine, now + kExpected, count_reports_of(asker, engine)});
+  expected_.push_back({node, engine, now + kExpectedCallTimeout, count_reports_of(asker, engine)});
 }
 
 std::uint64_t shared_calls::count_reports_of(const node_calls& node, const BackendId& engine) {
@@ -59,7 +59,7 @@
   return node.complete_reports * kComplete + (report_counts == node.report_counts.end() ? 0 : report_counts->second);
 }
 
-void shared_calls::forget_unfulfilled(Timestamp now) {
+void shared_calls::forget_unreported_calls(Timestamp now) {
   for (; !expected_.empty() && expected_.front().until <= now; expected_.pop_front()) {
     const expected_call& one = expected_.front();
     const auto node = nodes_.find(one.node);
@@ -73,7 +73,7 @@
     open_calls less = known->second;
     --less.live;
     less.nodes = less.live + less.batch > 0 ? 1 : 0;
-    less.silent_nodes = std::min(less.silent_nodes, less.nodes);
+    less.unresponsive_nodes = std::min(less.unresponsive_nodes, less.nodes);
     replace(known->second, one.engine, less);
   }
 }
@@ -87,14 +87,14 @@
     total->second.live -= calls.live;
     total->second.batch -= calls.batch;
     total->second.nodes -= calls.nodes;
-    total->second.silent_nodes -= calls.silent_nodes;
+    total->second.unresponsive_nodes -= calls.unresponsive_nodes;
     if (total->second == open_calls{}) {
       totals_.erase(total);
     }
   }
 }
 
-void shared_calls::forget_silent(Timestamp now) {
+void shared_calls::forget_unresponsive_nodes(Timestamp now) {
   for (auto node = nodes_.begin(); node != nodes_.end();) {
     if (now - node->second.heard_at <= kSilent) {
       ++node;
--- a/src/routing/shared_calls.hpp
+++ b/src/routing/shared_calls.hpp
@@ -15,11 +15,11 @@
 struct open_calls {
   std::uint32_t live = 0;
   std::uint32_t batch = 0;
-  std::uint32_t nodes = 0;         ///< Nodes with open calls at the engine.
-  std::uint32_t silent_nodes = 0;  ///< Those of these nodes to which the engine has long sent nothing.
+  std::uint32_t nodes = 0;               ///< Nodes with open calls at the engine.
+  std::uint32_t unresponsive_nodes = 0;  ///< Those of these nodes to which the engine has long sent nothing.
 
   /// @return whether the engine is unresponsive to at least half of the nodes with open calls there.
-  bool silent() const { return silent_nodes > 0 && 2 * silent_nodes >= nodes; }
+  bool silent() const { return unresponsive_nodes > 0 && 2 * unresponsive_nodes >= nodes; }
   auto operator<=>(const open_calls&) const = default;
 };
 
@@ -29,18 +29,18 @@
   /// Applies another node's call report. A complete report replaces all earlier reports of that node.
   void take(const wire::EngineActivityT& message, Timestamp now);
   /// Counts one more live call of @p node at @p engine until that node reports its calls there, for at most
-  /// kExpected.
+  /// kExpectedCallTimeout.
   void expect(const std::string& node, const BackendId& engine, Timestamp now);
   /// Longer than it takes to answer the node and to receive the node's own report of the call. An expected call that is
   /// not reported by then went to another engine.
-  static constexpr Duration kExpected = 150ms;
-  void forget_unfulfilled(Timestamp now);
+  static constexpr Duration kExpectedCallTimeout = 150ms;
+  void forget_unreported_calls(Timestamp now);
   /// Forgets nodes that have sent no call report for 3 s.
-  void forget_silent(Timestamp now);
+  void forget_unresponsive_nodes(Timestamp now);
   /// @return the calls of all other nodes at @p engine.
   open_calls at(const BackendId& engine) const;
   /// @return whether any other node has recently sent a call report.
-  bool any_heard() const { return !nodes_.empty(); }
+  bool has_reports() const { return !nodes_.empty(); }
   /// @return the longest time that live calls recently waited for batch work to free a slot, over all nodes; zero if
   ///         unknown.
   Duration time_to_yield() const;
@@ -56,7 +56,7 @@
     std::map<BackendId, open_calls> engines;
     std::map<BackendId, std::uint64_t> report_counts;  ///< Reports of each engine since the last complete report.
     std::uint64_t complete_reports = 0;
-    latest_word latest;
+    latest_message_number latest;
     Duration time_to_yield{};
     Timestamp heard_at{};
   };
