--- a/src/placement/call_reporter.cpp
+++ b/src/placement/call_reporter.cpp
@@ -11,7 +11,7 @@
 
 constexpr Duration kReportDelay = 5ms;
 /// The start of a call can be reported late: the coordinator counted the call when it assigned the engine, and drops it
-/// only after shared_calls::kExpected.
+/// only after shared_calls::kExpectedCallTimeout.
 constexpr Duration kStartReportDelay = 40ms;
 constexpr Duration kFullReportInterval = 1s;
 constexpr Duration kCheckInterval = 100ms;
@@ -64,7 +64,7 @@
   schedule_report(kStartReportDelay);
 }
 
-void call_reporter::failed(const BackendId& engine, call_trouble trouble) {
+void call_reporter::failed(const BackendId& engine, call_failure_kind trouble) {
   const routing::Backend* backend = registry_.find(engine);
   if (backend == nullptr || !places_.active()) {
     return;
@@ -76,7 +76,7 @@
     }
     wire::EngineFailureT message;
     message.engine = engine.str();
-    message.unreachable = trouble == call_trouble::unreachable;
+    message.unreachable = trouble == call_failure_kind::unreachable;
     if (member->id == self_.id) {
       own_coordinator_.handle(message);
     } else {
--- a/src/placement/call_reporter.hpp
+++ b/src/placement/call_reporter.hpp
@@ -25,7 +25,7 @@
   /// Schedules a report after this node's calls at @p engine have changed.
   void changed(const BackendId& engine);
   /// Reports at once, also to this node's own coordinator, that a call of this node failed at @p engine.
-  void failed(const BackendId& engine, call_trouble trouble);
+  void failed(const BackendId& engine, call_failure_kind trouble);
   /// Records that a call of this node got its first token from @p engine after @p milliseconds.
   void first_token(const BackendId& engine, double milliseconds);
   /// @param time how long live calls recently waited for batch work to yield its slot.
--- a/src/placement/coordinator.cpp
+++ b/src/placement/coordinator.cpp
@@ -58,7 +58,7 @@
 
 void coordinator::maintain() {
   environment_.after(kMaintenanceInterval, lifetime_.guard([this] { maintain(); }));
-  calls_.forget_silent(environment_.now());
+  calls_.forget_unresponsive_nodes(environment_.now());
   failing_engines_.remove_expired(environment_.now());
   cached_prefixes_.remove_expired(environment_.now());
   warm_up_pace_.forget_old(environment_.now());
@@ -80,7 +80,7 @@
     if (!is_unhealthy(backend->machine.id)) {
       healthy.push_back(backend);
     } else if (calls_.at(backend->machine.id).silent()) {
-      registry_.note_possible_start(backend->machine.id);
+      registry_.note_possible_restart(backend->machine.id);
     }
   }
   // If most engines seem to fail, the cause is likely elsewhere, and the few healthy ones could not carry the load.
@@ -121,10 +121,10 @@
 void coordinator::handle(const wire::EngineFailureT& message) {
   const BackendId engine(message.engine);
   if (message.unreachable) {
-    registry_.note_possible_start(engine);
+    registry_.note_possible_restart(engine);
   }
   const bool before = failing_engines_.is_ejected(engine, environment_.now());
-  failing_engines_.record(engine, message.unreachable ? call_trouble::unreachable : call_trouble::broken,
+  failing_engines_.record(engine, message.unreachable ? call_failure_kind::unreachable : call_failure_kind::broken,
                           environment_.now());
   if (!before && failing_engines_.is_ejected(engine, environment_.now())) {
     counters_["engines_set_aside_total"]++;
@@ -133,13 +133,13 @@
 }
 
 placement_choice coordinator::choose(const caller& origin, const engine_domain& domain,
-                                     const forwarding::place_query& query, bool final) {
+                                     const forwarding::placement_query& query, bool final) {
   last_asked_[domain] = environment_.now();
   if (!reports_free_slots_) {
     reports_free_slots_ = true;
     environment_.after(kFreeSlotReportInterval, lifetime_.guard([this] { report_free_slots(); }));
   }
-  calls_.forget_unfulfilled(environment_.now());
+  calls_.forget_unreported_calls(environment_.now());
   if (waiting_.refresh(domain, origin, environment_.now())) {
     placement_choice choice;
     choice.waiting = true;
@@ -173,7 +173,7 @@
 }
 
 routing::Backend* coordinator::find_slot(const std::vector<routing::Backend*>& open,
-                                         const forwarding::place_query& query) {
+                                         const forwarding::placement_query& query) {
   const double median = forwarding::median_latency(open);
   call_view call;
   call.prefill = query.affinity_key.empty() ? Duration::zero() : query.reading;
@@ -187,7 +187,7 @@
   for (const routing::Backend* backend : open) {
     const forwarding::known_calls known = forwarding::calls_at(*backend, calls_, now);
     engine_view view{known.live, known.batch, known.slots, forwarding::slowness(*backend, median)};
-    view.prefill_left = std::max(Duration::zero(), backend->reading_until - now);
+    view.prefill_left = std::max(Duration::zero(), backend->prefill_until - now);
     if (!query.affinity_key.empty()) {
       view.prefix_cached = cached_prefixes_.likely_cached(query.affinity_key, backend->machine.id, now);
       view.rank = rendezvous_weight(query.affinity_key, backend->machine.id.str());
@@ -199,10 +199,10 @@
 }
 
 placement_choice coordinator::assign(const std::string& node, routing::Backend& engine,
-                                     const forwarding::place_query& query) {
+                                     const forwarding::placement_query& query) {
   const BackendId& id = engine.machine.id;
   const forwarding::known_calls known = forwarding::calls_at(engine, calls_, environment_.now());
-  forwarding::place_answer answer{id, known.needs_yield()};
+  forwarding::engine_assignment answer{id, known.needs_yield()};
   failing_engines_.count_call(id, environment_.now());
   if (registry_.warm_up_limit(engine)) {
     warm_up_pace_.count(id, environment_.now());
@@ -215,7 +215,7 @@
     answer.keeps_start = cached_prefixes_.likely_cached(query.affinity_key, id, environment_.now());
     cached_prefixes_.record_use(query.affinity_key, id, environment_.now());
     if (!answer.keeps_start) {
-      registry_.on_reading(id, query.reading);
+      registry_.on_prefill(id, query.reading);
     }
   }
   placement_choice choice;
@@ -224,7 +224,7 @@
 }
 
 placement_choice coordinator::handle_full_domain(const caller& origin, const engine_domain& domain,
-                                                 const forwarding::place_query& query,
+                                                 const forwarding::placement_query& query,
                                                  const std::vector<routing::Backend*>& open, bool final) {
   if (!final) {
     if (const auto zone = zone_with_free_slots(domain)) {
@@ -267,7 +267,7 @@
   return choice;
 }
 
-Duration coordinator::expected_wait(const engine_domain& domain, const forwarding::place_query& query,
+Duration coordinator::expected_wait(const engine_domain& domain, const forwarding::placement_query& query,
                                     const std::vector<routing::Backend*>& open, std::size_t ahead) {
   const auto calls = static_cast<double>(ahead + 1);
   double slots = 0;
@@ -302,7 +302,7 @@
 }
 
 void coordinator::serve_waiting() {
-  calls_.forget_unfulfilled(environment_.now());
+  calls_.forget_unreported_calls(environment_.now());
   const std::size_t dropped = waiting_.remove_expired(environment_.now());
   counters_["placements_held_dropped_total"] += static_cast<CounterValue>(dropped);
   for (const engine_domain& domain : waiting_.domains()) {
@@ -317,7 +317,7 @@
   const std::vector<waiting_call>& calls = waiting_.in_order(domain, now);
   const std::size_t tried = std::min(calls.size(), kMaxCallsTried);
   for (std::size_t position = 0; position < tried; ++position) {
-    const forwarding::place_query& query = calls[position].query;
+    const forwarding::placement_query& query = calls[position].query;
     if (routing::Backend* engine = find_slot(candidates(domain, query.excluded), query)) {
       const waiting_call call = waiting_.take(domain, position);
       deliver(domain, call, assign(call.origin.node, *engine, call.query));
@@ -370,7 +370,7 @@
 }
 
 void coordinator::handle(const PeerAddress& sender, const wire::PlaceRequestT& message) {
-  forwarding::place_query query;
+  forwarding::placement_query query;
   query.pool = message.pool;
   query.affinity_key = message.affinity_key;
   for (const std::string& engine : message.excluded) {
--- a/src/placement/coordinator.hpp
+++ b/src/placement/coordinator.hpp
@@ -25,7 +25,7 @@
 
 /// A coordinator's reply to a request for an engine.
 struct placement_choice {
-  std::optional<forwarding::place_answer> place;
+  std::optional<forwarding::engine_assignment> place;
   std::string zone;      ///< Another zone with more free slots; empty: none.
   bool waiting = false;  ///< The call is queued; a second reply names an engine once a slot is free.
   /// Set if the call is rejected, since it would wait for longer than its caller does: time until a slot is likely
@@ -46,7 +46,7 @@
   /// Assigns an engine of @p domain to a call, and counts that call from now on. A repeated request for a call that
   /// waits gets the reply that the call is waiting.
   /// @param final whether the reply must not refer the caller to another zone.
-  placement_choice choose(const caller& origin, const engine_domain& domain, const forwarding::place_query& query,
+  placement_choice choose(const caller& origin, const engine_domain& domain, const forwarding::placement_query& query,
                           bool final);
   /// Removes a waiting call that needs no engine any more.
   void withdraw(const caller& origin);
@@ -75,16 +75,16 @@
   /// @return the sum of the rate limits, in calls per second, of the engines of @p domain that are warming up.
   double warm_up_rate(const engine_domain& domain);
   /// @return the time until a call behind @p ahead others gets an engine, if slots become free at an even rate.
-  Duration expected_wait(const engine_domain& domain, const forwarding::place_query& query,
+  Duration expected_wait(const engine_domain& domain, const forwarding::placement_query& query,
                          const std::vector<routing::Backend*>& open, std::size_t ahead);
   /// @return the engine that is expected to give the call its first token soonest; null if all are full.
-  routing::Backend* find_slot(const std::vector<routing::Backend*>& open, const forwarding::place_query& query);
+  routing::Backend* find_slot(const std::vector<routing::Backend*>& open, const forwarding::placement_query& query);
   /// Assigns the call to @p engine and counts it there from now on.
-  placement_choice assign(const std::string& node, routing::Backend& engine, const forwarding::place_query& query);
+  placement_choice assign(const std::string& node, routing::Backend& engine, const forwarding::placement_query& query);
   /// Handles a call for which every engine is full: refers it to another zone, queues it or rejects it.
   placement_choice handle_full_domain(const caller& origin, const engine_domain& domain,
-                                      const forwarding::place_query& query, const std::vector<routing::Backend*>& open,
-                                      bool final);
+                                      const forwarding::placement_query& query,
+                                      const std::vector<routing::Backend*>& open, bool final);
   void schedule_serving();
   void serve_waiting();
   /// @return whether a waiting call of @p domain was assigned an engine or referred to another zone.
--- a/src/placement/failing_engines.cpp
+++ b/src/placement/failing_engines.cpp
@@ -24,7 +24,7 @@
 
 void failing_engines::count_call(const BackendId& engine, Timestamp now) { calls_[engine].count(now, 1); }
 
-void failing_engines::record(const BackendId& engine, call_trouble trouble, Timestamp now) {
+void failing_engines::record(const BackendId& engine, call_failure_kind trouble, Timestamp now) {
   failure_history& known = engines_[engine];
   const bool repeated = known.ejected_until.count() != 0 && now < known.ejected_until + kRepeatWindow;
   std::erase_if(known.failures, [now](Timestamp at) { return now - at >= kFailureWindow; });
@@ -38,7 +38,7 @@
     return;  // this call was sent before the ejection
   }
   const bool repeated_failure = repeated && failures >= kMinFailureShare * calls_a_second;
-  if (trouble != call_trouble::unreachable && !enough_failures && !repeated_failure) {
+  if (trouble != call_failure_kind::unreachable && !enough_failures && !repeated_failure) {
     return;
   }
   known.doublings = repeated ? std::min(known.doublings + 1, kMaxDoublings) : 0;
--- a/src/placement/failing_engines.hpp
+++ b/src/placement/failing_engines.hpp
@@ -11,7 +11,7 @@
 namespace madderdeck::placement {
 
 /// How a call failed at an engine.
-enum class call_trouble {
+enum class call_failure_kind {
   unreachable,  ///< No byte could be sent to the engine.
   broken,       ///< The connection ended, no response came in time, or the engine answered with an error of its own.
 };
@@ -24,7 +24,7 @@
  public:
   /// Counts a call that is sent to @p engine.
   void count_call(const BackendId& engine, Timestamp now);
-  void record(const BackendId& engine, call_trouble trouble, Timestamp now);
+  void record(const BackendId& engine, call_failure_kind trouble, Timestamp now);
   /// @return whether @p engine is ejected at @p now: it should get no calls while other engines are available.
   bool is_ejected(const BackendId& engine, Timestamp now) const;
   /// Removes engines whose last failure is long ago.
--- a/src/placement/place_client.cpp
+++ b/src/placement/place_client.cpp
@@ -41,7 +41,7 @@
 
 /// A call with an engine preferred by affinity uses that engine's domain; other calls use the domain of this node's
 /// zone.
-engine_domain place_client::domain_for(const forwarding::place_query& query) const {
+engine_domain place_client::domain_for(const forwarding::placement_query& query) const {
   if (query.first) {
     const auto first = registry_.backends().find(*query.first);
     if (first != registry_.backends().end()) {
@@ -62,7 +62,7 @@
   }
 }
 
-place_client::ticket place_client::place(const forwarding::place_query& query, placed done) {
+place_client::ticket place_client::place(const forwarding::placement_query& query, placed done) {
   const ticket request_id = ++next_request_;
   pending call;
   call.query = query;
@@ -102,7 +102,7 @@
   call.waiting = call.waiting && call.coordinator_address == PeerAddress(member->peer_address);
   call.coordinator_address = PeerAddress(member->peer_address);
   // These times are relative to now, so that the time since the call began must be subtracted.
-  forwarding::place_query query = call.query;
+  forwarding::placement_query query = call.query;
   const Duration passed = environment_.now() - call.started;
   query.due -= passed;
   query.patience -= passed;
@@ -145,8 +145,8 @@
   // A coordinator that was asked earlier may reply after the call was passed on to another one.
   if (call == pending_.end() || call->second.coordinator_address != sender) {
     counters_["placements_answered_late_total"]++;
-    if (!message.engine.empty() && on_unused) {
-      on_unused(BackendId(message.engine));
+    if (!message.engine.empty() && on_unused_assignment) {
+      on_unused_assignment(BackendId(message.engine));
     }
     return;
   }
@@ -157,7 +157,7 @@
   if (message.rejected) {
     choice.retry_after = Duration(message.retry_us);
   } else if (!message.engine.empty()) {
-    choice.place = forwarding::place_answer{BackendId(message.engine), message.needs_yield, message.keeps_start};
+    choice.place = forwarding::engine_assignment{BackendId(message.engine), message.needs_yield, message.keeps_start};
   }
   take(message.request, choice);
 }
@@ -173,7 +173,7 @@
     ++call.attempt;
     schedule_repeat(request_id);
   } else if (choice.retry_after) {
-    finish(request_id, forwarding::place_outcome::rejected(*choice.retry_after));
+    finish(request_id, forwarding::placement_outcome::rejected(*choice.retry_after));
   } else if (choice.place) {
     finish(request_id, choice.place);
   } else if (!choice.zone.empty() && !call.final) {
@@ -186,7 +186,7 @@
   }
 }
 
-void place_client::finish(ticket request_id, const forwarding::place_outcome& outcome) {
+void place_client::finish(ticket request_id, const forwarding::placement_outcome& outcome) {
   auto node = pending_.extract(request_id);
   node.mapped().done(outcome);
 }
--- a/src/placement/place_client.hpp
+++ b/src/placement/place_client.hpp
@@ -31,17 +31,17 @@
   ///         and reports.
   bool active() const override { return duties_.divided() && long_prefix_share_ < kMaxLongPrefixShare; }
   void note_request(bool long_start) override;
-  ticket place(const forwarding::place_query& query, placed done) override;
+  ticket place(const forwarding::placement_query& query, placed done) override;
   void withdraw(ticket request_id) override;
   void handle(const PeerAddress& sender, const wire::PlaceReplyT& message);
   /// Called with an engine that was assigned too late to be used; its coordinator counts a call that never comes.
-  std::function<void(const BackendId&)> on_unused;
+  std::function<void(const BackendId&)> on_unused_assignment;
   /// @return the gateway to ask for engines of @p domain now; null if there is none.
   const wire::MemberT* coordinator_for(const engine_domain& domain) const;
 
  private:
   struct pending {
-    forwarding::place_query query;
+    forwarding::placement_query query;
     placed done;
     engine_domain domain;
     bool final = false;
@@ -56,12 +56,12 @@
     Timestamp avoided_until{};
   };
 
-  engine_domain domain_for(const forwarding::place_query& query) const;
+  engine_domain domain_for(const forwarding::placement_query& query) const;
   /// Sends the first or a repeated request for a pending call.
   void ask(ticket request_id);
   void send_request(ticket request_id, const pending& call, const wire::MemberT& member);
   void take(ticket request_id, const placement_choice& choice);
-  void finish(ticket request_id, const forwarding::place_outcome& outcome);
+  void finish(ticket request_id, const forwarding::placement_outcome& outcome);
   void schedule_repeat(ticket request_id);
   void on_reply_timeout(ticket request_id, std::uint64_t attempt);
 
--- a/src/placement/waiting_calls.cpp
+++ b/src/placement/waiting_calls.cpp
@@ -57,7 +57,7 @@
   if (calls == calls_.end()) {
     return 0;
   }
-  const policy::call_outlook own = call.outlook(now);
+  const policy::waiting_call_state own = call.outlook(now);
   return static_cast<std::size_t>(std::count_if(calls->second.begin(), calls->second.end(), [&](const auto& other) {
     return !order_.before(own, other.outlook(now));
   }));
--- a/src/placement/waiting_calls.hpp
+++ b/src/placement/waiting_calls.hpp
@@ -23,13 +23,13 @@
 /// A call that waits for a slot.
 struct waiting_call {
   caller origin;
-  forwarding::place_query query;
+  forwarding::placement_query query;
   Timestamp arrived{};
   Timestamp due_at{};      ///< A call that starts later misses its latency target.
   Timestamp expires_at{};  ///< The caller stops waiting at this time.
   Timestamp last_request_at{};
 
-  policy::call_outlook outlook(Timestamp now) const { return {query.rank, due_at - now, now - arrived}; }
+  policy::waiting_call_state outlook(Timestamp now) const { return {query.rank, due_at - now, now - arrived}; }
 };
 
 /// Holds only the requests for engines: the call itself stays at its gateway, which repeats the request every
