--- a/src/policy/call_order.cpp
+++ b/src/policy/call_order.cpp
@@ -2,11 +2,11 @@
 
 namespace madderdeck::policy {
 
-bool arrival_call_order::before(const call_outlook& left, const call_outlook& right) const {
+bool arrival_call_order::before(const waiting_call_state& left, const waiting_call_state& right) const {
   return left.waited > right.waited;
 }
 
-bool attainable_call_order::before(const call_outlook& left, const call_outlook& right) const {
+bool attainable_call_order::before(const waiting_call_state& left, const waiting_call_state& right) const {
   if (left.in_time() != right.in_time()) {
     return left.in_time();
   }
--- a/src/policy/call_order.hpp
+++ b/src/policy/call_order.hpp
@@ -17,26 +17,26 @@
 };
 
 /// State of a waiting call at one point in time.
-struct call_outlook {
+struct waiting_call_state {
   call_rank rank;
   Duration time_left{};  ///< Time until a start would be too late for the call's latency target; negative after that.
   Duration waited{};
 
   bool in_time() const { return time_left >= Duration::zero(); }
-  auto operator<=>(const call_outlook&) const = default;
+  auto operator<=>(const waiting_call_state&) const = default;
 };
 
 /// Order of waiting calls. A strict weak ordering; stateless.
 class call_order {
  public:
   virtual ~call_order() = default;
-  virtual bool before(const call_outlook& left, const call_outlook& right) const = 0;
+  virtual bool before(const waiting_call_state& left, const waiting_call_state& right) const = 0;
 };
 
 /// In order of arrival.
 class arrival_call_order : public call_order {
  public:
-  bool before(const call_outlook& left, const call_outlook& right) const override;
+  bool before(const waiting_call_state& left, const waiting_call_state& right) const override;
 };
 
 /// Calls that can still meet their target go first, ordered by rank and then by nearest target. The late calls follow,
@@ -45,7 +45,7 @@
 /// arrival.
 class attainable_call_order : public call_order {
  public:
-  bool before(const call_outlook& left, const call_outlook& right) const override;
+  bool before(const waiting_call_state& left, const waiting_call_state& right) const override;
 };
 
 }  // namespace madderdeck::policy
--- a/src/policy/item_order.cpp
+++ b/src/policy/item_order.cpp
@@ -3,15 +3,15 @@
 namespace madderdeck::policy {
 namespace {
 
-bool late(const item_outlook& item) { return item.slack() < Duration::zero(); }
+bool late(const unfinished_item_state& item) { return item.slack() < Duration::zero(); }
 
 }  // namespace
 
-bool deadline_order::before(const item_outlook& left, const item_outlook& right) const {
+bool deadline_order::before(const unfinished_item_state& left, const unfinished_item_state& right) const {
   return left.time_left < right.time_left;
 }
 
-bool attainable_order::before(const item_outlook& left, const item_outlook& right) const {
+bool attainable_order::before(const unfinished_item_state& left, const unfinished_item_state& right) const {
   if (late(left) != late(right)) {
     return late(right);
   }
--- a/src/policy/work_estimate.cpp
+++ b/src/policy/work_estimate.cpp
@@ -24,7 +24,7 @@
   }
 }
 
-void work_estimate::learn_stretch(const std::string& kind, Duration took, Duration work) {
+void work_estimate::update_wait_ratio(const std::string& kind, Duration took, Duration work) {
   if (work <= Duration::zero()) {
     return;
   }
--- a/src/policy/work_estimate.hpp
+++ b/src/policy/work_estimate.hpp
@@ -24,7 +24,7 @@
   /// Call this when an item was done in time.
   /// @param took time since its first start, including the times in which it had yielded its slot to live calls.
   /// @param work the estimated time that it needed in a slot.
-  void learn_stretch(const std::string& kind, Duration took, Duration work);
+  void update_wait_ratio(const std::string& kind, Duration took, Duration work);
   /// @param events number of events that earlier runs produced.
   /// @return the estimated time in a slot for the rest of the item; zero if nothing is known about @p kind.
   Duration work_left(const std::string& kind, std::uint32_t tokens, std::uint32_t events) const;
