--- a/src/tenancy/rate_keeper.hpp
+++ b/src/tenancy/rate_keeper.hpp
@@ -12,18 +12,18 @@
 namespace madderdeck::tenancy {
 
 /// A tenant's rate limit, as one version of the configuration states it.
-struct stated_rate {
+struct configured_rate {
   std::string tenant;
   std::uint64_t version = 0;  ///< Version of the configuration; a keeper applies the latest it has seen.
   rate_limit limit;
 
-  auto operator<=>(const stated_rate&) const = default;
+  auto operator<=>(const configured_rate&) const = default;
 };
 
 /// A node's request to a keeper for permission to admit requests of a tenant.
 struct rate_query {
   std::string node;
-  stated_rate rate;
+  configured_rate rate;
   std::uint32_t wanted = 1;
   std::uint32_t recent = 0;  ///< Requests that the node has admitted within the window, with or without a keeper.
 };
@@ -69,7 +69,7 @@
     explicit node_usage(Duration span) : granted(span) {}
   };
   struct account {
-    stated_rate rate;
+    configured_rate rate;
     std::map<std::string, node_usage> usage_by_node;
     usage_window all_grants;
 
--- a/src/tenancy/rate_limiter.cpp
+++ b/src/tenancy/rate_limiter.cpp
@@ -83,7 +83,7 @@
   return members_.has_seeds() && !members_.is_seed() && gateways_known_ <= 1;
 }
 
-void rate_limiter::try_admit(const std::string& request, const stated_rate& rate, unsigned tries, decided done) {
+void rate_limiter::try_admit(const std::string& request, const configured_rate& rate, unsigned tries, decided done) {
   if (!rate.limit.limited()) {
     done({true, {}});
     return;
@@ -109,7 +109,7 @@
   }
 }
 
-rate_query rate_limiter::query_for(const stated_rate& rate) {
+rate_query rate_limiter::query_for(const configured_rate& rate) {
   account& tenant_account = account_of(rate.tenant);
   const Timestamp now = environment_.now();
   rate_query query;
@@ -122,7 +122,7 @@
   return query;
 }
 
-void rate_limiter::on_undecided(const std::string& request, const stated_rate& rate, unsigned tries,
+void rate_limiter::on_undecided(const std::string& request, const configured_rate& rate, unsigned tries,
                                 const decided& done) {
   const bool starting = environment_.now() - started_ < kStartupTime;
   if (!starting || tries >= kMaxRetries) {
@@ -134,8 +134,8 @@
       kRetryDelay, lifetime_.guard([this, request, rate, tries, done] { try_admit(request, rate, tries + 1, done); }));
 }
 
-void rate_limiter::ask(const wire::MemberT& keeper, const std::string& request, const stated_rate& rate, unsigned tries,
-                       decided done) {
+void rate_limiter::ask(const wire::MemberT& keeper, const std::string& request, const configured_rate& rate,
+                       unsigned tries, decided done) {
   const rate_query query = query_for(rate);
   wire::RateRequestT message;
   message.request = ++next_request_;
@@ -199,7 +199,7 @@
   take_answer(asked.request, asked.rate, answer, asked.asked_at, asked.done);
 }
 
-void rate_limiter::take_answer(const std::string& request, const stated_rate& rate, const rate_answer& answer,
+void rate_limiter::take_answer(const std::string& request, const configured_rate& rate, const rate_answer& answer,
                                Timestamp asked_at, const decided& done) {
   account& tenant_account = account_of(rate.tenant);
   const Timestamp now = environment_.now();
@@ -218,7 +218,7 @@
 
 /// Admits one request per window even if the node's share is less: limits have some slack, and a tenant that sends few
 /// requests would otherwise have all of them refused.
-void rate_limiter::decide_by_own_share(const std::string& request, const stated_rate& rate, const decided& done) {
+void rate_limiter::decide_by_own_share(const std::string& request, const configured_rate& rate, const decided& done) {
   account& tenant_account = account_of(rate.tenant);
   log_decision_source(tenant_account, rate.tenant, true);
   refresh_view();
@@ -244,7 +244,7 @@
   done({true, {}});
 }
 
-void rate_limiter::refuse(const std::string& request, const stated_rate& rate, const rate_answer& known,
+void rate_limiter::refuse(const std::string& request, const configured_rate& rate, const rate_answer& known,
                           std::string_view by, const decided& done) {
   counters_["tenant_rate_limited_total"]++;
   log_.record("tenant_rate_refused", {{"request", request},
--- a/src/tenancy/rate_limiter.hpp
+++ b/src/tenancy/rate_limiter.hpp
@@ -35,7 +35,7 @@
   void start();
   /// Decides whether a request is admitted. @p done may run before this returns.
   /// @param request id of the request, for the log.
-  void admit(const std::string& request, const stated_rate& rate, decided done) {
+  void admit(const std::string& request, const configured_rate& rate, decided done) {
     try_admit(request, rate, 0, std::move(done));
   }
 
@@ -56,31 +56,31 @@
   };
   struct pending {
     std::string request;
-    stated_rate rate;
+    configured_rate rate;
     decided done;
     PeerAddress keeper;
     Timestamp asked_at{};
     unsigned tries = 0;  ///< Number of attempts before this one.
   };
 
-  void try_admit(const std::string& request, const stated_rate& rate, unsigned tries, decided done);
+  void try_admit(const std::string& request, const configured_rate& rate, unsigned tries, decided done);
   /// Handles a request that no keeper has decided on. A node that has just started retries soon, because the nodes may
   /// not know each other yet; any other node decides by its own share.
-  void on_undecided(const std::string& request, const stated_rate& rate, unsigned tries, const decided& done);
+  void on_undecided(const std::string& request, const configured_rate& rate, unsigned tries, const decided& done);
   account& account_of(const std::string& tenant);
   const wire::MemberT* keeper_of(const std::string& tenant) const;
   bool is_reachable(const std::string& node) const;
   void refresh_view() const;
   /// @return whether this node knows no other gateway yet although seed addresses are configured.
   bool knows_no_peer() const;
-  rate_query query_for(const stated_rate& rate);
-  void ask(const wire::MemberT& keeper, const std::string& request, const stated_rate& rate, unsigned tries,
+  rate_query query_for(const configured_rate& rate);
+  void ask(const wire::MemberT& keeper, const std::string& request, const configured_rate& rate, unsigned tries,
            decided done);
-  void take_answer(const std::string& request, const stated_rate& rate, const rate_answer& answer, Timestamp asked_at,
-                   const decided& done);
-  void decide_by_own_share(const std::string& request, const stated_rate& rate, const decided& done);
+  void take_answer(const std::string& request, const configured_rate& rate, const rate_answer& answer,
+                   Timestamp asked_at, const decided& done);
+  void decide_by_own_share(const std::string& request, const configured_rate& rate, const decided& done);
   void admit_now(account& tenant_account, const decided& done);
-  void refuse(const std::string& request, const stated_rate& rate, const rate_answer& known, std::string_view by,
+  void refuse(const std::string& request, const configured_rate& rate, const rate_answer& known, std::string_view by,
               const decided& done);
   void log_decision_source(account& tenant_account, const std::string& tenant, bool by_own_share);
   void maintain();
