--- a/src/batch/dispatcher.cpp
+++ b/src/batch/dispatcher.cpp
@@ -116,7 +116,7 @@
   ownership_members_version_ = members_.version();
   ownership_registry_version_ = registry_.version();
   owned_engines_.clear();
-  if (registry_.backends().size() > routing::kMostBackendsBeforeFleet && !members_.knows_fleet()) {
+  if (registry_.backends().size() > routing::kMaxBackendsBeforeFleetKnown && !members_.knows_fleet()) {
     ownership_registry_version_ = 0;  // forces another refresh
     return;
   }
@@ -141,7 +141,7 @@
   return owned_engines_;
 }
 
-std::vector<BackendId> Dispatcher::worth_asking(std::uint64_t round) {
+std::vector<BackendId> Dispatcher::engines_to_poll(std::uint64_t round) {
   std::vector<BackendId> found;
   for (const BackendId& id : owned()) {
     const routing::Backend* backend = registry_.find(id);
@@ -150,7 +150,7 @@
         known != engines_.end() && std::any_of(known->second.gateways.begin(), known->second.gateways.end(),
                                                [](const auto& gateway) { return gateway.second.in_flight > 0; });
     const bool batch = known != engines_.end() && known->second.running > 0;
-    const bool others = backend != nullptr && registry_.unexplained(*backend) > 0;
+    const bool others = backend != nullptr && registry_.unattributed(*backend) > 0;
     if (live || batch || others || (stable_hash(id.str()) + round) % kIdlePollRounds == 0) {
       found.push_back(id);
     }
@@ -176,15 +176,15 @@
     const bool heard = environment_.now() - activity.received_at < kActivityMaxAge;
     total += heard ? activity.in_flight : 0;
   }
-  if (registry_.knows_calls()) {
-    return total + registry_.unexplained(backend);
+  if (registry_.has_peer_call_reports()) {
+    return total + registry_.unattributed(backend);
   }
   const bool fresh = backend.reported_at.count() != 0 && environment_.now() - backend.reported_at < kReportMaxAge;
   if (!fresh) {
     return total;
   }
   std::uint32_t reported = backend.report.running_online;
-  if (!backend.report.kinds_told_apart) {
+  if (!backend.report.separates_batch) {
     const auto own = static_cast<std::uint32_t>(engine.running);
     reported = reported + backend.report.waiting > own ? reported + backend.report.waiting - own : 0;
   }
@@ -199,7 +199,7 @@
     return catalog_.policy().batch_headroom_slots;
   }
   const Duration observed = policies_.time_to_yield ? policies_.time_to_yield() : Duration::zero();
-  const Duration least = registry_.knows_calls() ? kMinTimeToYield : kMinTimeToYieldUnobserved;
+  const Duration least = registry_.has_peer_call_reports() ? kMinTimeToYield : kMinTimeToYieldUnobserved;
   const Timestamp now = environment_.now();
   double rate = engine.live_call_rate.per_second(now);
   if (policies_.set.headroom_for_peaks && !owned_engines_.empty()) {
@@ -217,10 +217,10 @@
   return taken >= backend.machine.slots ? 0 : backend.machine.slots - taken;
 }
 
-policy::item_outlook Dispatcher::outlook_of(const QueuedItem& work) const {
+policy::unfinished_item_state Dispatcher::outlook_of(const QueuedItem& work) const {
   const std::uint64_t now_ms = environment_.unix_milliseconds();
   const auto left_ms = static_cast<std::int64_t>(work.item.deadline_ms) - static_cast<std::int64_t>(now_ms);
-  policy::item_outlook outlook;
+  policy::unfinished_item_state outlook;
   outlook.time_left = work.item.deadline_ms == 0 ? Duration::max() : Duration(std::chrono::milliseconds(left_ms));
   outlook.work_left =
       policies_.estimate->time_left(work.item.template_name, work.item.tokens, work.item.partial_tokens);
@@ -228,7 +228,7 @@
 }
 
 void Dispatcher::sort_queue() {
-  std::vector<std::pair<policy::item_outlook, QueuedItem>> waiting;
+  std::vector<std::pair<policy::unfinished_item_state, QueuedItem>> waiting;
   waiting.reserve(queue_.size());
   for (QueuedItem& work : queue_) {
     waiting.emplace_back(outlook_of(work), std::move(work));
@@ -396,7 +396,7 @@
   }
 }
 
-Result<routing::EngineCall> Dispatcher::call_of(const QueuedItem& work) const {
+Result<routing::EngineCall> Dispatcher::engine_call_for(const QueuedItem& work) const {
   routing::EngineCall call;
   call.http = work.http;
   if (!work.http) {
@@ -418,22 +418,22 @@
 }
 
 bool Dispatcher::must_withhold(QueuedItem& work) {
-  if (repeat_guard_ == nullptr || !repeat_guard_->remembers_any() ||
-      repeat_guard_->allows_retrial(fingerprint_of(work))) {
+  if (repeat_guard_ == nullptr || !repeat_guard_->has_records() ||
+      repeat_guard_->allows_isolated_retry(fingerprint_of(work))) {
     return false;
   }
-  const bool undecided = repeat_guard_->undecided_for(fingerprint_of(work)) > Duration::zero();
-  return undecided || repeat_guard_->holds_back(fingerprint_of(work), item_id_of(work));
+  const bool undecided = repeat_guard_->undecided_wait(fingerprint_of(work)) > Duration::zero();
+  return undecided || repeat_guard_->is_quarantined(fingerprint_of(work), item_id_of(work));
 }
 
 void Dispatcher::withhold(QueuedItem work) {
   counters_["batch_items_withheld_total"]++;
-  if (work.item.give_up_at_ms == 0 && repeat_guard_->beyond_doubt(fingerprint_of(work))) {
+  if (work.item.give_up_at_ms == 0 && repeat_guard_->is_confirmed_fatal(fingerprint_of(work))) {
     work.item.partial = "engines ended each time they ran this item";
     write_result(std::move(work), true);
     return;
   }
-  const Duration undecided = repeat_guard_->undecided_for(fingerprint_of(work));
+  const Duration undecided = repeat_guard_->undecided_wait(fingerprint_of(work));
   const Duration wait = undecided > Duration::zero() ? undecided : kWithholdTime;
   withheld_.push_back({std::move(work), environment_.now() + wait});
 }
@@ -450,7 +450,7 @@
 
 const routing::request_fingerprint& Dispatcher::fingerprint_of(QueuedItem& work) const {
   if (!work.fingerprint) {
-    const Result<routing::EngineCall> call = call_of(work);
+    const Result<routing::EngineCall> call = engine_call_for(work);
     // An item that cannot be parsed is never run, so that its fingerprint does not matter.
     work.fingerprint = succeeded(call) ? routing::fingerprint_of(value_of(call)) : routing::request_fingerprint();
   }
@@ -460,7 +460,7 @@
 bool Dispatcher::is_suspected(QueuedItem& work) const { return repeat_guard_->suspects(fingerprint_of(work)); }
 
 bool Dispatcher::conflicts_with_suspect(QueuedItem& work, const BackendId& engine) {
-  if (repeat_guard_ == nullptr || !repeat_guard_->remembers_any() || !is_suspected(work)) {
+  if (repeat_guard_ == nullptr || !repeat_guard_->has_records() || !is_suspected(work)) {
     return false;
   }
   return std::any_of(running_.begin(), running_.end(), [this, &engine](auto& entry) {
@@ -485,7 +485,7 @@
 
 void Dispatcher::start_item(QueuedItem work, routing::Backend& backend) {
   const RunId id = ++next_run_;
-  Result<routing::EngineCall> built = call_of(work);
+  Result<routing::EngineCall> built = engine_call_for(work);
   if (!succeeded(built)) {
     work.item.partial = error_of(built).detail;
     write_result(std::move(work), true);
@@ -497,8 +497,8 @@
     withhold(std::move(work));
     return;
   }
-  if (on_start) {
-    on_start(JobId(work.item.job), work.item.index);
+  if (on_item_started) {
+    on_item_started(JobId(work.item.job), work.item.index);
   }
   RunningItem running;
   running.work = std::move(work);
@@ -579,7 +579,7 @@
   }
   RunningItem running = take_running(id);
   registry_.on_success(running.engine);
-  if (repeat_guard_ != nullptr && repeat_guard_->remembers_any()) {
+  if (repeat_guard_ != nullptr && repeat_guard_->has_records()) {
     repeat_guard_->call_answered(fingerprint_of(running.work));
   }
   policies_.estimate->learn(
@@ -596,7 +596,7 @@
     return;
   }
   RunningItem running = take_running(id);
-  if (registry_.lives_on(running.engine, running.life)) {
+  if (registry_.is_incarnation(running.engine, running.life)) {
     registry_.on_failure(running.engine, failure);
   }
   counters_["batch_item_failures_total"]++;
@@ -823,7 +823,7 @@
     const auto run = entry++;
     const routing::Backend* backend = registry_.find(run->second.engine);
     const bool silent =
-        backend != nullptr && backend->open_calls > 0 && now - backend->quiet_since > kUnresponsiveEngineTimeout;
+        backend != nullptr && backend->open_calls > 0 && now - backend->last_data_at > kUnresponsiveEngineTimeout;
     // A run that has just started may still be waiting for its first event.
     if (!silent || now - run->second.started_at < kUnresponsiveEngineTimeout) {
       continue;
@@ -861,7 +861,7 @@
                                {"live", live},
                                {"batch_running", engines_[running.engine].running},
                                {"events", running.work.item.partial_tokens}});
-  const policy::item_outlook outlook = outlook_of(running.work);
+  const policy::unfinished_item_state outlook = outlook_of(running.work);
   const auto later = std::find_if(queue_.begin(), queue_.end(), [&](const QueuedItem& waiting) {
     return !policies_.set.order->before(outlook_of(waiting), outlook);
   });
--- a/src/batch/dispatcher.hpp
+++ b/src/batch/dispatcher.hpp
@@ -61,7 +61,7 @@
   void handle(const wire::JobNoticeT& message);
   /// Sets the guard that keeps an item from being run again after engines terminated while running it.
   /// @p guard must outlive this object.
-  void use_repeat_guard(routing::repeat_guard& guard) { repeat_guard_ = &guard; }
+  void set_repeat_guard(routing::repeat_guard& guard) { repeat_guard_ = &guard; }
   /// @return whether this node dispatches the batch items of @p engine.
   bool owns(const BackendId& engine);
   /// @return the engines whose batch items this node dispatches.
@@ -69,13 +69,13 @@
   /// @return the engines to poll for their load in this round: those of owned() that are known to have calls, and one
   /// in kIdlePollRounds of the others, each in its turn.
   /// @param round number of the polling round.
-  std::vector<BackendId> worth_asking(std::uint64_t round);
+  std::vector<BackendId> engines_to_poll(std::uint64_t round);
   static constexpr std::uint64_t kIdlePollRounds = 10;
   /// Called when this node is leaving: takes no new items and returns the running ones to their managers.
   void drain();
   std::size_t active() const { return running_.size() + settling_.size(); }
 
-  StartHook on_start;
+  StartHook on_item_started;
   BatchActivityHook on_batch_activity;
 
  private:
@@ -111,7 +111,7 @@
   struct GatewayActivity {
     std::uint32_t in_flight = 0;
     Timestamp received_at{};
-    latest_word latest;
+    latest_message_number latest;
   };
   struct Engine {
     std::map<std::string, GatewayActivity> gateways;
@@ -131,7 +131,7 @@
   void refresh_ownership();
   std::vector<PeerAddress> managers_to_ask();
   void yield_on(const BackendId& id);
-  policy::item_outlook outlook_of(const QueuedItem& work) const;
+  policy::unfinished_item_state outlook_of(const QueuedItem& work) const;
   void sort_queue();
   /// Requeues the runs on engines that have sent nothing for kUnresponsiveEngineTimeout; the items resume on another
   /// engine from their last event.
@@ -150,7 +150,7 @@
   bool route_missing_too_long(const QueuedItem& work);
   void start_item(QueuedItem work, routing::Backend& backend);
   /// @return the engine call that runs @p work, or the error in the item.
-  Result<routing::EngineCall> call_of(const QueuedItem& work) const;
+  Result<routing::EngineCall> engine_call_for(const QueuedItem& work) const;
   /// @return whether an engine is known to have terminated while running @p work.
   bool is_suspected(QueuedItem& work) const;
   /// @return whether both @p work and an item that runs on @p engine are suspected of terminating engines. Suspected
--- a/src/batch/job_manager.cpp
+++ b/src/batch/job_manager.cpp
@@ -273,7 +273,7 @@
   });
   wire::GiveItemsT reply;
   reply.request = message.request;
-  const std::vector<HandOutPass> passes = item_order_->late_go_last()
+  const std::vector<HandOutPass> passes = item_order_->defers_late_items()
                                               ? std::vector{HandOutPass::in_time, HandOutPass::late}
                                               : std::vector{HandOutPass::any};
   for (const HandOutPass pass : passes) {
@@ -527,7 +527,7 @@
     return;
   }
   if (message.completed) {
-    learn_stretch(job, message.index);
+    update_wait_ratio(job, message.index);
     settle(job, message.index);
     return;
   }
@@ -551,7 +551,7 @@
   }
 }
 
-void JobManager::learn_stretch(Job& job, std::uint32_t index) {
+void JobManager::update_wait_ratio(Job& job, std::uint32_t index) {
   const auto node = job.first_handed_out.extract(index);
   const bool late = job.record.deadline_ms != 0 && environment_.unix_milliseconds() > job.record.deadline_ms;
   // A late item is ignored, since it may have waited for the late items to be handed out.
@@ -559,7 +559,7 @@
     return;
   }
   const Duration work = estimate_.work_left(job.record.template_name, job.record.item_tokens[index], 0);
-  estimate_.learn_stretch(job.record.template_name, environment_.now() - node.mapped(), work);
+  estimate_.update_wait_ratio(job.record.template_name, environment_.now() - node.mapped(), work);
 }
 
 void JobManager::hand_over(const Job& job) {
@@ -605,7 +605,7 @@
   return queued;
 }
 
-std::vector<wire::QueuedJobT> JobManager::take_closed() {
+std::vector<wire::QueuedJobT> JobManager::take_ended_jobs() {
   std::vector<wire::QueuedJobT> closed;
   std::swap(closed, closed_jobs_);
   return closed;
--- a/src/batch/job_manager.hpp
+++ b/src/batch/job_manager.hpp
@@ -53,7 +53,7 @@
   /// @return the unsettled tokens of each job managed here whose items state their tokens.
   std::vector<wire::QueuedJobT> queued_jobs() const;
   /// @return the jobs that have ended on this node since the last call.
-  std::vector<wire::QueuedJobT> take_closed();
+  std::vector<wire::QueuedJobT> take_ended_jobs();
 
  private:
   /// The lease of an item that a dispatcher holds.
@@ -127,7 +127,7 @@
   bool item_body(Job& job, std::uint32_t index, std::string& body);
   void load_chunk(Job& job, std::uint32_t chunk);
   void settle(Job& job, std::uint32_t index);
-  void learn_stretch(Job& job, std::uint32_t index);
+  void update_wait_ratio(Job& job, std::uint32_t index);
   const wire::MemberT* scheduler_at(const PeerAddress& address) const;
   void complete_if_done(const JobId& id);
   /// Lists settled items in the job's order records.
--- a/src/batch/queue_limiter.cpp
+++ b/src/batch/queue_limiter.cpp
@@ -70,7 +70,7 @@
   read_if_needed();
 }
 
-void queue_limiter::set_least_limit(std::uint64_t limit) {
+void queue_limiter::set_lowest_limit(std::uint64_t limit) {
   lowest_limit_ = limit;
   read_if_needed();
 }
@@ -166,7 +166,7 @@
   return near ? kReportIntervalPerPeer * peers : std::max<Duration>(kRefreshInterval, kRefreshIntervalPerPeer * peers);
 }
 
-void queue_limiter::set_managed(const std::vector<wire::QueuedJobT>& jobs) {
+void queue_limiter::set_managed_jobs(const std::vector<wire::QueuedJobT>& jobs) {
   const Timestamp now = environment_.now();
   if (now - reported_at_ < report_interval()) {
     return;
@@ -304,7 +304,7 @@
 
 void queue_limiter::decide_admission(const admission_request& request, const AdmissionDone& done) {
   const bool far_below = fits_without_keeper(request);
-  const wire::MemberT* keeper = membership::ranked_scheduler(members_, keeper_key(request.route));
+  const wire::MemberT* keeper = membership::responsible_scheduler(members_, keeper_key(request.route));
   if (!far_below && keeper != nullptr && keeper->id != members_.self().id) {
     ask_keeper(*keeper, request, done);
     return;
--- a/src/batch/queue_limiter.hpp
+++ b/src/batch/queue_limiter.hpp
@@ -50,7 +50,7 @@
 
   void start();
   /// @param limit the lowest limit of any route; 0 if no route has a limit, and then nothing is read or reported.
-  void set_least_limit(std::uint64_t limit);
+  void set_lowest_limit(std::uint64_t limit);
   bool limited() const { return lowest_limit_ > 0; }
   /// Decides whether to admit a job; @p done may run before this returns.
   void admit(const admission_request& request, AdmissionDone done);
@@ -60,7 +60,7 @@
   void close(const JobId& job);
   /// Sets the waiting tokens of the jobs that this node manages. Changes are reported to the other nodes: at short
   /// intervals when a route is near the limit, at long ones otherwise.
-  void set_managed(const std::vector<wire::QueuedJobT>& jobs);
+  void set_managed_jobs(const std::vector<wire::QueuedJobT>& jobs);
 
   void handle(const wire::QueueReportT& message);
   void handle(const PeerAddress& sender, const wire::QueueGrantRequestT& message);
--- a/src/batch/result_reader.cpp
+++ b/src/batch/result_reader.cpp
@@ -68,7 +68,7 @@
     }
     next(no_such_job_error(job));
   };
-  ledger_.scan_within(time_left_until(until), job_key(job), 2, lifetime_.guard(take));
+  ledger_.scan_with_timeout(time_left_until(until), job_key(job), 2, lifetime_.guard(take));
 }
 
 void ResultReader::evict_old_jobs() {
@@ -123,8 +123,8 @@
     }
     read_results(reading);
   };
-  ledger_.scan_within(time_left_until(reading->answer_by), order_prefix(reading->job), kScanPage,
-                      lifetime_.guard(take));
+  ledger_.scan_with_timeout(time_left_until(reading->answer_by), order_prefix(reading->job), kScanPage,
+                            lifetime_.guard(take));
 }
 
 void ResultReader::cache_result(CachedJob& known, wire::ResultRecordT record) {
@@ -254,7 +254,7 @@
       }
       done(Error{ErrorKind::not_found, "job " + job.str() + " has no item " + item_id});
     };
-    ledger_.scan_within(time_left_until(until), prefix, kScanPage, lifetime_.guard(take));
+    ledger_.scan_with_timeout(time_left_until(until), prefix, kScanPage, lifetime_.guard(take));
   });
 }
 
--- a/src/batch/submission.hpp
+++ b/src/batch/submission.hpp
@@ -48,9 +48,9 @@
   /// cannot continue after an error.
   /// @param tokens stated size of prompt and answer; 0 if none is stated.
   Status add(std::string_view item, std::uint32_t tokens = 0);
-  /// @return whether the caller should add no more items until the hook of on_room() runs.
+  /// @return whether the caller should add no more items until the hook of set_ready_hook() runs.
   bool congested() const { return chunks_in_flight_ >= kMaxChunksInFlight; }
-  void on_room(std::function<void()> hook) { room_hook_ = std::move(hook); }
+  void set_ready_hook(std::function<void()> hook) { room_hook_ = std::move(hook); }
   /// Called once all items have been added; @p done gets the stored job.
   void finish(SubmitDone done);
   std::uint32_t items() const { return items_; }
--- a/src/batch/submission_window.cpp
+++ b/src/batch/submission_window.cpp
@@ -20,7 +20,7 @@
   publish();
 }
 
-bool submission_window::has_room(std::size_t bytes) {
+bool submission_window::has_capacity(std::size_t bytes) {
   if (in_flight_bytes_ == 0 || in_flight_bytes_ + bytes <= window_bytes_) {
     return true;
   }
@@ -33,7 +33,7 @@
 }
 
 bool submission_window::enter(std::size_t bytes) {
-  if (!has_room(bytes)) {
+  if (!has_capacity(bytes)) {
     return false;
   }
   add(bytes);
--- a/src/batch/submission_window.hpp
+++ b/src/batch/submission_window.hpp
@@ -36,7 +36,7 @@
                     submission_window_limits limits = {});
 
   /// @return whether a job of @p bytes may be written now; a refusal is counted and logged.
-  bool has_room(std::size_t bytes);
+  bool has_capacity(std::size_t bytes);
   /// Admits a new job of which @p bytes are to be written.
   /// @return whether the job was admitted; if so, the caller calls leave() when the job ends.
   bool enter(std::size_t bytes);
