--- a/src/forwarding/backend_directory.hpp
+++ b/src/forwarding/backend_directory.hpp
@@ -14,7 +14,7 @@
   /// @return "ip:port" of @p backend; empty when the node no longer knows it.
   virtual std::string address_of(const BackendId& backend) const = 0;
   /// @return whether @p backend may be sent a request now.
-  virtual bool takes_work(const BackendId& backend) const = 0;
+  virtual bool accepts_work(const BackendId& backend) const = 0;
   /// @return whether @p backend will shut down soon or is no longer known to the node.
   virtual bool is_leaving(const BackendId& backend) const = 0;
   /// @return number of connections that this node may have open to @p backend.
--- a/src/forwarding/engine_choice.cpp
+++ b/src/forwarding/engine_choice.cpp
@@ -18,7 +18,7 @@
 /// Added to the load of a back end while it prefills a long prompt, as a part of its slots.
 constexpr double kReadingPenalty = 0.5;
 
-bool uses_shared(const ChoiceInput& input) { return input.shared != nullptr && input.shared->any_heard(); }
+bool uses_shared(const ChoiceInput& input) { return input.shared != nullptr && input.shared->has_reports(); }
 
 /// @return expected cost of one more live call: below 1 a slot is free; from 1 to below 2 a batch call has to free its
 ///         slot; from 2 on the call waits for another live call to end.
@@ -34,7 +34,7 @@
   if (uses_shared(input)) {
     return live_call_cost(calls_at(backend, *input.shared, input.now));
   }
-  return (estimated_requests(backend, input.now, input.sharing) + 1) / backend.machine.slots;
+  return (estimated_requests(backend, input.now, input.gateways_per_engine) + 1) / backend.machine.slots;
 }
 
 /// @return load that counts for affinity: where calls are shared, without batch calls, since these free their slots for
@@ -56,7 +56,7 @@
   Backend* best = nullptr;
   std::uint64_t best_weight = 0;
   for (Backend* candidate : candidates) {
-    const bool reading = input.now < candidate->reading_until;
+    const bool reading = input.now < candidate->prefill_until;
     if (reading || affinity_load(*candidate, input) > bound || slowness(*candidate, median) > input.affinity_slowness) {
       continue;
     }
@@ -109,24 +109,24 @@
 
 known_calls calls_at(const Backend& backend, const routing::shared_calls& shared, Timestamp now) {
   const routing::open_calls others = shared.at(backend.machine.id);
-  const std::uint32_t unexplained = now - backend.reported_at < kUnattributedMaxAge ? backend.unexplained : 0;
-  return {static_cast<double>(backend.online_in_flight + others.live + unexplained),
+  const std::uint32_t unattributed = now - backend.reported_at < kUnattributedMaxAge ? backend.unattributed : 0;
+  return {static_cast<double>(backend.online_in_flight + others.live + unattributed),
           static_cast<double>(backend.batch_in_flight + others.batch), static_cast<double>(backend.machine.slots)};
 }
 
-double estimated_requests(const Backend& backend, Timestamp now, double sharing) {
+double estimated_requests(const Backend& backend, Timestamp now, double gateways_per_engine) {
   const double own = backend.online_in_flight;
   const bool fresh = backend.reported_at.count() != 0 && now - backend.reported_at < kReportMaxAge;
   if (!fresh) {
-    return own * sharing;
+    return own * gateways_per_engine;
   }
   const double reported = backend.report.running_online + backend.report.running_batch + backend.report.waiting;
-  const double sent_since = std::max(0.0, own - backend.own_at_report);
+  const double sent_since = std::max(0.0, own - backend.online_in_flight_at_report);
   return std::max(own, reported + sent_since);
 }
 
 bool silent(const Backend& backend, Timestamp now) {
-  return backend.open_calls > 0 && now - backend.quiet_since > kUnresponsiveAfter;
+  return backend.open_calls > 0 && now - backend.last_data_at > kUnresponsiveAfter;
 }
 
 Backend& preferred_backend(const std::vector<Backend*>& candidates, std::string_view key) {
@@ -157,7 +157,7 @@
   Backend* best = nullptr;
   double best_cost = 0;
   for (Backend* candidate : draw(std::move(candidates), input.samples, input.random)) {
-    const double penalty = input.now < candidate->reading_until ? kReadingPenalty : 0;
+    const double penalty = input.now < candidate->prefill_until ? kReadingPenalty : 0;
     const double cost = (load(*candidate, input) + penalty) * slowness(*candidate, median);
     if (best == nullptr || cost < best_cost) {
       best = candidate;
--- a/src/forwarding/engine_choice.hpp
+++ b/src/forwarding/engine_choice.hpp
@@ -16,7 +16,7 @@
   std::string_view affinity_key;  ///< Shared by requests with the same prompt prefix; empty: no back end is preferred.
   Timestamp now{};
   std::uint64_t random = 0;
-  double sharing = 1;                             ///< Average number of gateways that use the same back end.
+  double gateways_per_engine = 1;                 ///< Average number of gateways that use the same back end.
   const routing::shared_calls* shared = nullptr;  ///< Open calls of the other nodes; null without call reports.
   /// An engine that is more than this many times as slow as the median is not chosen by affinity.
   double affinity_slowness = 1;
@@ -40,8 +40,9 @@
 
 /// @return estimated number of requests running and waiting at @p backend. While its last load report is recent, this
 /// is
-///         the reported number plus what this node has sent since; otherwise this node's own calls times @p sharing.
-double estimated_requests(const routing::Backend& backend, Timestamp now, double sharing);
+///         the reported number plus what this node has sent since; otherwise this node's own calls times @p
+///         gateways_per_engine.
+double estimated_requests(const routing::Backend& backend, Timestamp now, double gateways_per_engine);
 
 /// @return the median time to the first token, in milliseconds, of the @p candidates with a measured time; 0 where none
 /// has one.
--- a/src/forwarding/engine_placer.hpp
+++ b/src/forwarding/engine_placer.hpp
@@ -13,7 +13,7 @@
 namespace madderdeck::forwarding {
 
 /// A request that needs an engine. Immutable.
-struct place_query {
+struct placement_query {
   std::string request;  ///< The caller's id, for the log.
   std::string pool;
   std::string affinity_key;        ///< Shared by requests with the same prompt prefix; empty: no engine is preferred.
@@ -27,33 +27,33 @@
 };
 
 /// The engine to send a request to.
-struct place_answer {
+struct engine_assignment {
   BackendId engine;
   bool needs_yield = false;  ///< A batch call on the engine has to free its slot.
   bool keeps_start = false;  ///< The engine has likely cached the prompt prefix.
 };
 
-/// Result of a place_query. Immutable.
-struct place_outcome {
-  place_outcome(std::nullopt_t) {}                                  // NOLINT(google-explicit-constructor): no result
-  place_outcome(place_answer answer) : place(std::move(answer)) {}  // NOLINT(google-explicit-constructor)
-  place_outcome(std::optional<place_answer> answer)
+/// Result of a placement_query. Immutable.
+struct placement_outcome {
+  placement_outcome(std::nullopt_t) {}  // NOLINT(google-explicit-constructor): no result
+  placement_outcome(engine_assignment answer) : place(std::move(answer)) {}  // NOLINT(google-explicit-constructor)
+  placement_outcome(std::optional<engine_assignment> answer)
       : place(std::move(answer)) {}  // NOLINT(google-explicit-constructor)
   /// No slot will be free before the caller gives up; one is likely to be free after @p retry_after.
-  static place_outcome rejected(Duration retry_after) {
-    place_outcome outcome{std::nullopt};
+  static placement_outcome rejected(Duration retry_after) {
+    placement_outcome outcome{std::nullopt};
     outcome.retry_after = retry_after;
     return outcome;
   }
 
-  std::optional<place_answer> place;    ///< Empty where no reply came in time or no engine accepts requests.
-  std::optional<Duration> retry_after;  ///< Set where the request is to be rejected.
+  std::optional<engine_assignment> place;  ///< Empty where no reply came in time or no engine accepts requests.
+  std::optional<Duration> retry_after;     ///< Set where the request is to be rejected.
 };
 
 /// Chooses engines for a whole zone or fleet.
 class engine_placer {
  public:
-  using placed = std::function<void(const place_outcome&)>;
+  using placed = std::function<void(const placement_outcome&)>;
   using ticket = std::uint64_t;
 
   virtual ~engine_placer() = default;
@@ -64,7 +64,7 @@
   /// Asks for an engine. @p done may run before this returns; where every slot is in use, it runs once a slot is free
   /// for this request.
   /// @return the ticket that withdraw() takes.
-  virtual ticket place(const place_query& query, placed done) = 0;
+  virtual ticket place(const placement_query& query, placed done) = 0;
   /// Cancels a query whose request no longer needs an engine; its callback does not run.
   virtual void withdraw(ticket question) = 0;
 };
--- a/src/forwarding/forwarder.cpp
+++ b/src/forwarding/forwarder.cpp
@@ -127,11 +127,11 @@
 }
 
 bool Forwarder::refuse_if_quarantined(ForwardId id) {
-  if (repeats_ == nullptr || !repeats_->remembers_any()) {
+  if (repeats_ == nullptr || !repeats_->has_records()) {
     return false;
   }
   Active& active = requests_.at(id);
-  if (!repeats_->holds_back(fingerprint_of(active), active.request->id)) {
+  if (!repeats_->is_quarantined(fingerprint_of(active), active.request->id)) {
     return false;
   }
   counters_["forward_refused_quarantined_total"]++;
@@ -142,11 +142,11 @@
 /// Waiting avoids two faults: refusing a request because of a concurrent request that terminated the back end, and
 /// sending it while the report of a third termination is in transit.
 bool Forwarder::wait_if_undecided(ForwardId id) {
-  if (repeats_ == nullptr || !repeats_->remembers_any()) {
+  if (repeats_ == nullptr || !repeats_->has_records()) {
     return false;
   }
   Active& active = requests_.at(id);
-  const Duration wait = repeats_->undecided_for(fingerprint_of(active));
+  const Duration wait = repeats_->undecided_wait(fingerprint_of(active));
   if (wait <= Duration::zero()) {
     return false;
   }
@@ -198,7 +198,7 @@
   const std::uint64_t placer_query = ++next_placer_query_;
   active.placer_query = placer_query;
   const auto ticket = placer_->place(make_placer_query(active, open, key),
-                                     lifetime_.guard([this, id, placer_query](const place_outcome& outcome) {
+                                     lifetime_.guard([this, id, placer_query](const placement_outcome& outcome) {
                                        on_placer_reply(id, placer_query, outcome);
                                      }));
   const auto entry = requests_.find(id);
@@ -207,10 +207,10 @@
   }
 }
 
-place_query Forwarder::make_placer_query(const Active& active, const std::vector<Backend*>& open,
-                                         const std::string& key) const {
+placement_query Forwarder::make_placer_query(const Active& active, const std::vector<Backend*>& open,
+                                             const std::string& key) const {
   const Timestamp now = environment_.now();
-  place_query query;
+  placement_query query;
   query.request = active.request->id;
   query.pool = active.pool;
   query.excluded = active.tried;
@@ -233,7 +233,7 @@
   return query;
 }
 
-void Forwarder::on_placer_reply(ForwardId id, std::uint64_t placer_query, const place_outcome& outcome) {
+void Forwarder::on_placer_reply(ForwardId id, std::uint64_t placer_query, const placement_outcome& outcome) {
   const auto entry = requests_.find(id);
   if (entry == requests_.end() || entry->second.placer_query != placer_query) {
     counters_["forward_places_unused_total"]++;
@@ -247,7 +247,7 @@
     end_unanswered(id, ErrorKind::unavailable, "no slot will be free before the deadline");
     return;
   }
-  const std::optional<place_answer>& answer = outcome.place;
+  const std::optional<engine_assignment>& answer = outcome.place;
   const std::vector<Backend*> open = untried_backends(active);
   if (Backend* named = answer ? named_backend(active, open, answer->engine) : nullptr) {
     active.awaits_yield = answer->needs_yield;
@@ -300,7 +300,7 @@
 
 /// Where call reports arrive late, comparing all engines would make all gateways choose the same ones.
 Backend& Forwarder::choose(const Active& active, const std::vector<Backend*>& open, const std::string& key) {
-  ChoiceInput input{open, key, environment_.now(), environment_.random(), registry_.sharing(active.pool)};
+  ChoiceInput input{open, key, environment_.now(), environment_.random(), registry_.gateways_per_engine(active.pool)};
   input.shared = shared_;
   if (shared_ != nullptr) {
     const auto all = static_cast<std::int64_t>(open.size());
@@ -347,7 +347,7 @@
 void Forwarder::announce_prefill(Backend& backend) {
   const Duration expected = std::clamp(prefill_time_, kMinPrefillTime, kMaxPrefillTime);
   const Timestamp until = environment_.now() + expected;
-  backend.reading_until = std::max(backend.reading_until, until);
+  backend.prefill_until = std::max(backend.prefill_until, until);
   if (on_prefill_) {
     on_prefill_(backend.machine.id, expected);
   }
@@ -393,8 +393,8 @@
   if (active.request->prompt.empty() || affinity_key(active.request->prompt).empty()) {
     const double milliseconds = std::chrono::duration<double, std::milli>(elapsed).count();
     registry_.on_first_token(active.backend, milliseconds);
-    if (registry_.on_latency) {
-      registry_.on_latency(active.backend, milliseconds);
+    if (registry_.on_first_token_time) {
+      registry_.on_first_token_time(active.backend, milliseconds);
     }
     update_first_byte_time(active, elapsed);
   } else {
@@ -464,7 +464,7 @@
   if (!active.head.event_stream) {
     active.answer.read(piece, {});
     active.body.append(piece);
-  } else if (guards_.whole_events_only) {
+  } else if (guards_.complete_events_only) {
     forward_events(id, attempt, piece);
   } else {
     active.answer.read(piece, [&active](const StreamEvent&) { ++active.forwarded_events; });
@@ -533,7 +533,7 @@
   }
   Active& active = requests_.at(id);
   const answer_end end = active.answer.end();
-  if (end != answer_end::whole && guards_.judge_ends) {
+  if (end != answer_end::whole && guards_.check_answer_ends) {
     on_failed(id, attempt, {CallFailure::broken, end});
     return;
   }
@@ -554,7 +554,7 @@
   release_backend(active);
   registry_.on_success(active.backend);
   update_call_time(active);
-  if (repeats_ != nullptr && repeats_->remembers_any() && active.head.status < kFirstServerError) {
+  if (repeats_ != nullptr && repeats_->has_records() && active.head.status < kFirstServerError) {
     repeats_->call_answered(fingerprint_of(active));
   }
   counters_["forward_answered_total"]++;
@@ -580,7 +580,7 @@
     return;
   }
   forward_head(active);
-  if (!active.answer.unfinished().empty() && guards_.whole_events_only) {
+  if (!active.answer.unfinished().empty() && guards_.complete_events_only) {
     active.events.piece(active.answer.unfinished());  // empty lines after the last event
   }
   active.events.finished();
@@ -621,7 +621,7 @@
   const CallFailure failure = failed.reason;
   Active& active = requests_.at(id);
   release_backend(active);
-  if (registry_.lives_on(active.backend, active.incarnation)) {
+  if (registry_.is_incarnation(active.backend, active.incarnation)) {
     registry_.on_failure(active.backend, failure);
   }
   active.attempt = 0;
@@ -713,7 +713,7 @@
   upstream_.cancel(active.call);
   release_backend(active);
   record_broken_off(active, answer_end::given_up);
-  if (!active.has_first_byte && registry_.lives_on(active.backend, active.incarnation)) {
+  if (!active.has_first_byte && registry_.is_incarnation(active.backend, active.incarnation)) {
     registry_.on_failure(active.backend, CallFailure::timed_out);
   }
   ++active.runs;
--- a/src/forwarding/forwarder.hpp
+++ b/src/forwarding/forwarder.hpp
@@ -41,8 +41,8 @@
 /// Rules of forwarding that the simulation can switch off; always on in the daemon.
 struct ForwardGuards {
   bool repeat_only_if_allowed = true;  ///< A request that may have run is sent again only if its route allows that.
-  bool whole_events_only = true;       ///< Only complete events of a stream are forwarded.
-  bool judge_ends = true;              ///< An answer is complete only if its answer_reader says so.
+  bool complete_events_only = true;    ///< Only complete events of a stream are forwarded.
+  bool check_answer_ends = true;       ///< An answer is complete only if its answer_reader says so.
   bool keep_event_order = true;        ///< Repeated or early events of a resumable stream are not forwarded.
 };
 
@@ -59,7 +59,7 @@
   void pause(ForwardId id);
   void resume(ForwardId id);
   std::size_t active() const { return requests_.size(); }
-  void on_reading(PrefillHook hook) { on_prefill_ = std::move(hook); }
+  void on_prefill(PrefillHook hook) { on_prefill_ = std::move(hook); }
   /// From now on engines are chosen by the open calls that the other gateways report.
   /// @param delay time by which these reports are late.
   void use_shared_calls(const routing::shared_calls& calls, Duration delay) {
@@ -67,7 +67,7 @@
     shared_delay_ = delay;
   }
   /// From now on requests that terminate back ends are not sent again. @p guard outlives this forwarder.
-  void use_repeat_guard(routing::repeat_guard& guard) { repeats_ = &guard; }
+  void set_repeat_guard(routing::repeat_guard& guard) { repeats_ = &guard; }
   /// From now on @p placer is asked for engines while it is active. It outlives this forwarder.
   void use_placer(engine_placer& placer) { placer_ = &placer; }
   /// @param allow returns whether this node may send a request to a back end that warms up now, and if so counts it;
@@ -97,7 +97,7 @@
     std::uint32_t sends = 0;
     std::uint32_t runs = 0;  ///< Sends that the back end may have run.
     std::set<BackendId> tried;
-    routing::call_breaks breaks;
+    routing::break_history breaks;
     std::optional<routing::request_fingerprint> fingerprint;  ///< Computed at its first use.
     bool head_seen = false;                                   ///< Of the current send.
     bool head_forwarded = false;
@@ -117,9 +117,9 @@
   /// Asks the placer for the engine of a request.
   void query_placer(ForwardId id, const std::vector<routing::Backend*>& open, const std::string& key);
   /// @return the placer's input for the choice.
-  place_query make_placer_query(const Active& active, const std::vector<routing::Backend*>& open,
-                                const std::string& key) const;
-  void on_placer_reply(ForwardId id, std::uint64_t placer_query, const place_outcome& outcome);
+  placement_query make_placer_query(const Active& active, const std::vector<routing::Backend*>& open,
+                                    const std::string& key) const;
+  void on_placer_reply(ForwardId id, std::uint64_t placer_query, const placement_outcome& outcome);
   /// Sends a request to @p backend, one of @p open.
   void send_to(ForwardId id, routing::Backend& backend, const std::vector<routing::Backend*>& open);
   void send(ForwardId id, routing::Backend& backend);
