--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -75,7 +75,7 @@
     handle_work(exchange, tenant);
     return;
   }
-  const tenancy::stated_rate rate{
+  const tenancy::configured_rate rate{
       tenant->name, context_.core.objects.table().revision(), {tenant->requests_per_second, tenant->burst}};
   context_.core.limiter.admit("", rate, [this, exchange, tenant](const tenancy::rate_decision& decision) {
     if (decision.let_in) {
--- a/src/gateway/batches.cpp
+++ b/src/gateway/batches.cpp
@@ -55,7 +55,7 @@
 
   void begin() {
     const auto self = shared_from_this();
-    submission_.on_room([self] { self->request_more_body(); });
+    submission_.set_ready_hook([self] { self->request_more_body(); });
     exchange_->on_caller_gone([self] { self->end(); });
     exchange_->read_body([self](std::string_view piece, bool last, std::function<void()> more) {
       self->on_piece(piece, last, std::move(more));
@@ -151,7 +151,7 @@
   void end() {
     ended_ = true;
     more_ = nullptr;
-    submission_.on_room(nullptr);
+    submission_.set_ready_hook(nullptr);
   }
 
   ApiContext& context_;
--- a/src/gateway/operators.cpp
+++ b/src/gateway/operators.cpp
@@ -154,7 +154,7 @@
                             {"object_revision", core.objects.table().revision()},
                             {"machine_revision", core.machines.table().revision()},
                             {"replica_groups", core.catalog.groups().groups.size()},
-                            {"replica_synchronized", !core.replica || core.holds_its_records()},
+                            {"replica_synchronized", !core.replica || core.replica_is_current()},
                             {"disk", disk_state(core)},
                             {"live_active", core.live.active()},
                             {"members", describe_members(core)},
