--- a/src/object_store/controller.cpp
+++ b/src/object_store/controller.cpp
@@ -216,7 +216,7 @@
   }
   for (const auto& [table, since] : watched_since_) {
     if (ran_at_.back() > since) {
-      table->note_unchanged(ran_at_.back());
+      table->record_unchanged(ran_at_.back());
     }
   }
 }
@@ -449,7 +449,7 @@
     const wire::MemberT* node = controller_.member(replica.node);
     return node != nullptr && node->state != wire::MemberState::Dead && node->disk_id == replica.disk.str();
   }
-  bool has_gone(const ledger::ReplicaIdentity& leaver) override {
+  bool is_permanently_gone(const ledger::ReplicaIdentity& leaver) override {
     const ledger::replica_state state = controller_.state_of(leaver);
     if (state == ledger::replica_state::retiring || state == ledger::replica_state::stopping) {
       controller_.leaver_gone_since_.erase(leaver);
@@ -505,7 +505,7 @@
     return false;
   }
   local_fleet_view view(*this);
-  const auto change = ledger::wanted_change(groups[group], view, options_.replicas, options_.changes);
+  const auto change = ledger::next_epoch_change(groups[group], view, options_.replicas, options_.changes);
   return change && change->rule.let_go == member;
 }
 
@@ -580,7 +580,7 @@
     if (deciding_.contains(group)) {
       continue;
     }
-    if (const auto change = ledger::wanted_change(groups[group], view, options_.replicas, options_.changes)) {
+    if (const auto change = ledger::next_epoch_change(groups[group], view, options_.replicas, options_.changes)) {
       pending_.note_wanted(group, *change);
       if (!was_just_refused(group, *change) && (maintains || takes_turn(group, *change))) {
         begin_change(group, *change);
@@ -617,7 +617,7 @@
 }
 
 void Controller::ask_sole_decider(std::uint32_t group, const ledger::epoch_change& change) {
-  if (!change.rule.sole || !options_.changes.members_miss_silent_ones) {
+  if (!change.rule.sole || !options_.changes.protect_members_seen_up) {
     ask_store(group, change);
     return;
   }
@@ -669,7 +669,7 @@
     proposals_.log_outcome(group, change, result);
     // The new disk waits to learn whether that epoch names it.
     if (new_member) {
-      ledger_.tell_group(group, new_member->node);
+      ledger_.send_group_description(group, new_member->node);
     }
     if (!succeeded(result)) {
       if (error_of(result).kind == ErrorKind::conflict) {
--- a/src/object_store/declarations.cpp
+++ b/src/object_store/declarations.cpp
@@ -44,7 +44,7 @@
     const ErrorKind kind = error_of(result).kind;
     if (kind == ErrorKind::ambiguous) {
       counters_["declarations_ambiguous_total"]++;
-      if (!guards_.settle_ambiguous) {
+      if (!guards_.resolve_ambiguous_writes) {
         finish(number, pending.request.expected_revision + 1);
         return;
       }
--- a/src/object_store/declarations.hpp
+++ b/src/object_store/declarations.hpp
@@ -12,7 +12,7 @@
 
 /// Safety rules for writes; always on in the daemon.
 struct DeclarationGuards {
-  bool settle_ambiguous = true;  ///< Reads the object back after a lost reply, instead of assuming success.
+  bool resolve_ambiguous_writes = true;  ///< Reads the object back after a lost reply, instead of assuming success.
 };
 
 /// Writes declared objects. Single threaded.
--- a/src/object_store/proposal_journal.cpp
+++ b/src/object_store/proposal_journal.cpp
@@ -5,8 +5,8 @@
 
 constexpr std::int64_t kUnknownAge = -1;
 
-std::string counter_of(ledger::refusal_ground ground) {
-  const bool decided = ground == ledger::refusal_ground::none;
+std::string counter_of(ledger::refusal_reason ground) {
+  const bool decided = ground == ledger::refusal_reason::none;
   return decided ? "ledger_epochs_decided_total"
                  : std::string("ledger_epochs_refused_") + ledger::name_of(ground) + "_total";
 }
@@ -16,7 +16,7 @@
 proposal_journal::proposal_journal(Environment& environment, Counters& counters, DecisionLog& log,
                                    const membership::Membership& members)
     : environment_(environment), counters_(counters), log_(log), members_(members) {
-  for (const ledger::refusal_ground ground : ledger::kRefusalGrounds) {
+  for (const ledger::refusal_reason ground : ledger::kRefusalReasons) {
     counters_[counter_of(ground)] += 0;  // exported from the start, so that the first increment is visible
   }
 }
@@ -32,16 +32,17 @@
 void proposal_journal::log_outcome(std::uint32_t group, const ledger::epoch_change& asked,
                                    const Result<ledger::ReplicaGroup>& result) {
   const proposal how = take(group);
-  const auto ground = succeeded(result) ? ledger::refusal_ground::none : ledger::ground_of(error_of(result), how.votes);
+  const auto ground =
+      succeeded(result) ? ledger::refusal_reason::none : ledger::refusal_reason_of(error_of(result), how.votes);
   record(group, asked, result, ground, how);
 }
 
 void proposal_journal::log_declined(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
-  record(group, asked, why, ledger::refusal_ground::candidate, take(group));
+  record(group, asked, why, ledger::refusal_reason::candidate, take(group));
 }
 
 void proposal_journal::log_not_granted(std::uint32_t group, const ledger::epoch_change& asked, const Error& why) {
-  record(group, asked, why, ledger::refusal_ground::store, take(group));
+  record(group, asked, why, ledger::refusal_reason::store, take(group));
 }
 
 proposal_journal::proposal proposal_journal::take(std::uint32_t group) {
@@ -50,7 +51,7 @@
 }
 
 void proposal_journal::record(std::uint32_t group, const ledger::epoch_change& asked,
-                              const Result<ledger::ReplicaGroup>& result, ledger::refusal_ground ground,
+                              const Result<ledger::ReplicaGroup>& result, ledger::refusal_reason ground,
                               const proposal& how) {
   counters_[counter_of(ground)]++;
   const std::uint64_t before = asked.next.epoch - 1;
--- a/src/object_store/proposal_journal.hpp
+++ b/src/object_store/proposal_journal.hpp
@@ -38,7 +38,7 @@
 
   proposal take(std::uint32_t group);
   void record(std::uint32_t group, const ledger::epoch_change& asked, const Result<ledger::ReplicaGroup>& result,
-              ledger::refusal_ground ground, const proposal& how);
+              ledger::refusal_reason ground, const proposal& how);
 
   Environment& environment_;
   Counters& counters_;
--- a/src/object_store/proposer_view.cpp
+++ b/src/object_store/proposer_view.cpp
@@ -8,7 +8,7 @@
 disk_view view_of_disk(const ledger::ReplicaIdentity& identity, const membership::Membership& members) {
   disk_view disk;
   disk.identity = identity;
-  disk.contact = members.last_word_of(identity.node);
+  disk.contact = members.last_contact_of(identity.node);
   const wire::MemberT* node = members.find(identity.node);
   if (node == nullptr) {
     return disk;
@@ -35,7 +35,7 @@
   text += other_disk.empty() ? "" : " with " + other_disk.str();
   if (contact) {
     text += " " + std::to_string(contact->age / 1ms) + "ms";
-    text += contact->first_hand ? "" : " by others";
+    text += contact->received_directly ? "" : " by others";
   }
   return text;
 }
--- a/src/object_store/proposer_view.hpp
+++ b/src/object_store/proposer_view.hpp
@@ -14,10 +14,10 @@
 /// The state of one disk in the proposer's view.
 struct disk_view {
   ledger::ReplicaIdentity identity;
-  std::optional<wire::MemberState> state;          ///< Of its node; nothing: the proposer did not know that node.
-  bool retiring = false;                           ///< Its node was known to be draining.
-  DiskId other_disk;                               ///< The disk of its node, if that was another one.
-  std::optional<membership::member_word> contact;  ///< Latest report about its node.
+  std::optional<wire::MemberState> state;             ///< Of its node; nothing: the proposer did not know that node.
+  bool retiring = false;                              ///< Its node was known to be draining.
+  DiskId other_disk;                                  ///< The disk of its node, if that was another one.
+  std::optional<membership::member_contact> contact;  ///< Latest report about its node.
 
   /// @return "node/disk state age", as "b/disk-b retiring 40ms".
   std::string text() const;
--- a/src/object_store/retirement.cpp
+++ b/src/object_store/retirement.cpp
@@ -45,7 +45,7 @@
       }
     }
     if (!std::exchange(store_replied_, true) && !begun_) {
-      replica_.keep_disk();
+      replica_.cancel_draining();
     }
     watch();
   };
@@ -61,7 +61,7 @@
   }
 }
 
-std::optional<bool> Retirement::is_emptied(const NodeId& node) const {
+std::optional<bool> Retirement::is_drained(const NodeId& node) const {
   if (drained_.contains(node) || (completed_ && node.str() == members_.self().id)) {
     return true;
   }
@@ -76,7 +76,7 @@
   counters_["retirements_total"]++;
   log_.record("retirement_begun", {{"node", members_.self().id}, {"revision", revision_}});
   members_.retire();
-  replica_.begin_emptying();
+  replica_.begin_draining();
   report(RetirementState::running);
   check();
 }
@@ -136,7 +136,7 @@
                  {"known_epoch", replica_.known_epoch(place.group)},
                  {"outcome", succeeded(result) ? "decided" : error_kind_name(error_of(result).kind)}});
   };
-  ledger_.settle_next(place.group, lifetime_.guard(take));
+  ledger_.decide_next_unchanged(place.group, lifetime_.guard(take));
 }
 
 void Retirement::log_pending(const std::vector<ledger::pending_handover>& pending, std::size_t open_places) {
--- a/src/object_store/retirement.hpp
+++ b/src/object_store/retirement.hpp
@@ -25,7 +25,7 @@
   void start();
   /// @return whether the draining of @p node is completed, as reported by the platform or known for this node itself;
   ///         nothing if that is not known because the platform does not reply.
-  std::optional<bool> is_emptied(const NodeId& node) const;
+  std::optional<bool> is_drained(const NodeId& node) const;
 
  private:
   void watch();
