--- a/src/node/daemon.cpp
+++ b/src/node/daemon.cpp
@@ -146,7 +146,7 @@
       log_disk_opened(disk);
       options.self.disk_id = disk.identity;
       storage_ = std::move(disk.storage);
-    } else if (!outcome || ledger::is_worth_another_attempt(error_of(*outcome))) {
+    } else if (!outcome || ledger::is_retryable(error_of(*outcome))) {
       storage_ = ledger::RocksDbStorage::make_unopened();
       await_disk(outcome);
     } else {
@@ -223,13 +223,13 @@
               {{"refused_for_ms", (environment_.now() - disk_refused_at_) / 1ms}});
   }
 
-  ledger::DiskTroubleHooks disk_trouble_hooks() {
-    ledger::DiskTroubleHooks hooks;
+  ledger::DiskFailureHooks disk_trouble_hooks() {
+    ledger::DiskFailureHooks hooks;
     hooks.refused = [this](const Error& error) {
       note_disk_refused(error);
       core_->on_disk_refused();
     };
-    hooks.still_refused = [this](const Error& error) { note_disk_not_opened(error); };
+    hooks.reopen_failed = [this](const Error& error) { note_disk_not_opened(error); };
     hooks.regained = [this] {
       note_disk_regained();
       core_->on_disk_regained();
--- a/src/node/node_core.cpp
+++ b/src/node/node_core.cpp
@@ -84,9 +84,9 @@
         environment, counters, log, registry, *dependencies.upstream,
         [this](const BackendId& engine, std::uint32_t in_flight) { on_online_activity(engine, in_flight); },
         options.guards.forward);
-    forwarder->use_repeat_guard(quarantine);
+    forwarder->set_repeat_guard(quarantine);
     forwarder->allow_warming([this](const routing::Backend& backend) { return allows_warming(backend); });
-    forwarder->on_reading([this](const BackendId& engine, Duration expected) { announce_prefill(engine, expected); });
+    forwarder->on_prefill([this](const BackendId& engine, Duration expected) { announce_prefill(engine, expected); });
   }
   machines.prefer_near(
       [this](const PeerAddress& peer) { return members.live_count() <= kSmallFleetNodes || members.is_near(peer); });
@@ -104,8 +104,8 @@
     log.record("backend_restarted",
                {{"backend", backend.machine.id.str()}, {"started_unix_ms", backend.machine.started_unix_ms}});
   };
-  live.use_repeat_guard(quarantine);
-  services.use_repeat_guard(quarantine);
+  live.set_repeat_guard(quarantine);
+  services.set_repeat_guard(quarantine);
   shares_calls_ = options.policies.shared_calls;
   coordinates_ = options.policies.coordinated;
   call_order_ = options.policies.calls;
@@ -116,7 +116,7 @@
         environment, *dependencies.storage, counters, NodeId(options.self.id), DiskId(options.self.disk_id),
         [this](const NodeId& node) { return members.address_of(node); }, options.guards.replica);
     replica_journal = std::make_unique<ledger::replica_journal>(environment, log, *replica);
-    if (options.guards.changes.members_miss_silent_ones) {
+    if (options.guards.changes.protect_members_seen_up) {
       // If most of the fleet is unreachable, this node itself is probably disconnected, so no member counts as gone.
       replica->is_there = [this](const ledger::ReplicaIdentity& member) {
         return is_there(member) || most_of_fleet_unreachable();
@@ -125,11 +125,11 @@
   }
   group_health = std::make_unique<ledger::group_health>(environment, counters, log, ledger, replica.get(),
                                                         [this](const NodeId& node) { return members.find(node); });
-  group_health->judge_losses(
+  group_health->set_loss_criteria(
       // Uses the fleet policy's time rather than a deployment's shorter one: members are replaced after that time, but
       // most of their machines come back.
       [this]() -> Duration { return std::chrono::seconds(catalog.policy().replace_ledger_node_after_s); },
-      [this](const NodeId& node) { return retirement ? retirement->is_emptied(node) : std::nullopt; });
+      [this](const NodeId& node) { return retirement ? retirement->is_drained(node) : std::nullopt; });
   if (has_role(options.self, Role::scheduler)) {
     jobs = std::make_unique<batch::JobManager>(environment, counters, ledger, members, duties, log,
                                                options.policies.order, estimate, options.guards.manager);
@@ -138,7 +138,7 @@
     dispatcher = std::make_unique<batch::Dispatcher>(environment, counters, ledger, members, catalog, registry,
                                                      dependencies.backends, log, duties, std::move(policies),
                                                      options.guards.dispatch);
-    dispatcher->use_repeat_guard(quarantine);
+    dispatcher->set_repeat_guard(quarantine);
   }
   if (replica && dependencies.platform.has_retirements()) {
     retirement = std::make_unique<object_store::Retirement>(environment, counters, log, members, *replica, ledger,
@@ -179,8 +179,9 @@
       replica->catch_up();
     }
   };
-  hooks.on_not_found = [this](const membership::fleet_search& search) { log_fleet_not_found(search); };
-  hooks.on_found = [this](const membership::fleet_search& search, const PeerAddress& by, membership::found_by who) {
+  hooks.on_fleet_not_found = [this](const membership::fleet_search& search) { log_fleet_not_found(search); };
+  hooks.on_fleet_found = [this](const membership::fleet_search& search, const PeerAddress& by,
+                                membership::discovery_source who) {
     log.record("fleet_joined", {{"node", members.self().id},
                                 {"by", membership::name_of(who)},
                                 {"address", by.str()},
@@ -212,14 +213,14 @@
   started_at_ = environment.now();
   poll_all_until_ = started_at_ + kPollAllAfterDeath;
   if (replica) {
-    remembered_peers.keep_in(*storage_);
+    remembered_peers.store_in(*storage_);
   }
   members.start();
   limiter.start();
   if (replica) {
-    quarantine.keep_in(*storage_);
+    quarantine.store_in(*storage_);
   }
-  quarantine.mark_in(platform_);
+  quarantine.list_in_store(platform_);
   quarantine.start();
   if (replica) {
     replica_journal->start();
@@ -249,7 +250,7 @@
 }
 
 void NodeCore::start_watching_groups() {
-  ledger.on_asked = [this](const NodeId& node) { group_health->on_asked(node); };
+  ledger.on_request_sent = [this](const NodeId& node) { group_health->on_request_sent(node); };
   ledger.on_refusal = [this](const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch,
                              wire::ReplicaStatus status) { group_health->on_refusal(sender, group, epoch, status); };
   ledger.on_granted = [this](const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch) {
@@ -279,13 +280,14 @@
   coordinator->start();
   call_reporter->start();
   forwarder->use_placer(*places);
-  places->on_unused = [this](const BackendId& engine) { call_reporter->changed(engine); };
-  registry.on_latency = [this](const BackendId& engine, double milliseconds) {
+  places->on_unused_assignment = [this](const BackendId& engine) { call_reporter->changed(engine); };
+  registry.on_first_token_time = [this](const BackendId& engine, double milliseconds) {
     call_reporter->first_token(engine, milliseconds);
   };
-  registry.on_trouble = [this](const BackendId& engine, routing::CallFailure failure) {
+  registry.on_call_failure = [this](const BackendId& engine, routing::CallFailure failure) {
     const bool unreachable = failure == routing::CallFailure::not_sent;
-    call_reporter->failed(engine, unreachable ? placement::call_trouble::unreachable : placement::call_trouble::broken);
+    call_reporter->failed(
+        engine, unreachable ? placement::call_failure_kind::unreachable : placement::call_failure_kind::broken);
   };
 }
 
@@ -313,7 +315,7 @@
   // Includes recently dead nodes, since a node that is wrongly declared dead keeps sending requests: in two groups of
   // nodes that declared each other dead, one request terminated three engines in each group.
   std::set<PeerAddress> others;
-  for (const wire::MemberT* member : members.others_not_long_dead(kSuspicionsToDeadFor)) {
+  for (const wire::MemberT* member : members.others_except_long_dead(kSuspicionsToDeadFor)) {
     if (has_role(*member, Role::gateway) || has_role(*member, Role::scheduler) || has_role(*member, Role::ledger)) {
       others.insert(PeerAddress(member->peer_address));
     }
@@ -324,7 +326,7 @@
 
 bool NodeCore::is_leaving(const BackendId& backend) {
   const routing::Backend* known = registry.find(backend);
-  return known != nullptr && (known->machine.leaving || known->said_leaving);
+  return known != nullptr && (known->machine.leaving || known->reported_leaving);
 }
 
 Duration NodeCore::observed_time_to_yield() const {
@@ -352,7 +354,7 @@
         const std::uint64_t limit = route.max_queued_tokens;
         least = limit > 0 && (least == 0 || limit < least) ? limit : least;
       }
-      queues->set_least_limit(least);
+      queues->set_lowest_limit(least);
     }
     if (on_routes_change) {
       on_routes_change(*reported_routes_);
@@ -389,13 +391,13 @@
   }
   members.set_disk(disk.str());
   replica->set_disk(disk);
-  quarantine.keep_in(*storage_);
+  quarantine.store_in(*storage_);
   on_disk_regained();
 }
 
 void NodeCore::on_disk_regained() {
   if (replica) {
-    remembered_peers.keep_in(*storage_);
+    remembered_peers.store_in(*storage_);
     replica->resume();
     exchange_group_epochs();
   }
@@ -435,7 +437,7 @@
     // Requests that this node and others sent in an earlier incarnation may still run, and only load reports show them.
     // In a large fleet the dispatchers fetch the reports; otherwise each start would cause one load report for each
     // pair of node and engine.
-    const bool few = registry.backends().size() <= routing::kMostBackendsBeforeFleet;
+    const bool few = registry.backends().size() <= routing::kMaxBackendsBeforeFleetKnown;
     const bool just_started = few && environment.now() - started_at_ < kStartupPeriod;
     if (just_started && shares_calls_ && !duties.divided() && forwarder && backend != nullptr &&
         backend->reported_at.count() == 0) {
@@ -671,7 +673,7 @@
       quarantine.handle(sender, *body.AsSuspicionTaken());
       break;
     case wire::Message::PromptReading:
-      registry.on_reading(BackendId(body.AsPromptReading()->engine),
+      registry.on_prefill(BackendId(body.AsPromptReading()->engine),
                           std::chrono::milliseconds(body.AsPromptReading()->expected_ms));
       break;
     case wire::Message::NONE:
@@ -704,13 +706,13 @@
     return false;
   }
   // Peers may report a node as dead from which this node has just received a message.
-  const auto word = members.last_word_of(member.node);
-  const bool received_recently = word && word->first_hand && word->age < kReachableAfterMessage;
+  const auto word = members.last_contact_of(member.node);
+  const bool received_recently = word && word->received_directly && word->age < kReachableAfterMessage;
   return known->state == wire::MemberState::Alive || received_recently;
 }
 
 bool NodeCore::most_of_fleet_unreachable() const {
-  const std::size_t lately_known = members.others_not_long_dead(kDisconnectionWindow).size() + 1;
+  const std::size_t lately_known = members.others_except_long_dead(kDisconnectionWindow).size() + 1;
   return 2 * members.live_count() < lately_known;
 }
 
@@ -729,10 +731,10 @@
   const bool has_routes = forwarder && catalog.routes() && machines.table().revision() > 0;
   const bool has_groups = objects.table().revision() > 0 && !catalog.groups().groups.empty();
   const bool configured = forwarder ? has_routes : has_groups;
-  return configured && !draining_ && (!replica || holds_its_records());
+  return configured && !draining_ && (!replica || replica_is_current());
 }
 
-bool NodeCore::holds_its_records() const {
+bool NodeCore::replica_is_current() const {
   const auto& groups = ledger.group_map().groups;
   if (!replica || groups.empty() || !replica->synchronized()) {
     return false;
@@ -758,7 +760,7 @@
   const std::uint64_t number = ++next_awaiting_;
   awaiting_configuration_.emplace(number, std::move(done));
   counters["requests_before_configuration_total"]++;
-  environment.after(kConfigurationWait, lifetime_.guard([this, number] {
+  environment.after(kConfigurationTimeout, lifetime_.guard([this, number] {
     auto node = awaiting_configuration_.extract(number);
     if (!node.empty()) {
       node.mapped()(false);
@@ -865,14 +867,14 @@
   return entry == registry.backends().end() ? std::string() : entry->second.machine.address;
 }
 
-bool NodeCore::takes_work(const BackendId& backend) const {
+bool NodeCore::accepts_work(const BackendId& backend) const {
   const auto entry = registry.backends().find(backend);
   return entry != registry.backends().end() && registry.open(entry->second);
 }
 
 bool NodeCore::is_leaving(const BackendId& backend) const {
   const auto entry = registry.backends().find(backend);
-  return entry == registry.backends().end() || entry->second.machine.leaving || entry->second.said_leaving ||
+  return entry == registry.backends().end() || entry->second.machine.leaving || entry->second.reported_leaving ||
          entry->second.unlisted;
 }
 
@@ -908,7 +910,7 @@
 std::set<BackendId> NodeCore::polled_backends() {
   ++poll_round_;
   if (loads_pushed_ && dispatcher && coordinated() && environment.now() >= poll_all_until_) {
-    const std::vector<BackendId> asked = dispatcher->worth_asking(poll_round_);
+    const std::vector<BackendId> asked = dispatcher->engines_to_poll(poll_round_);
     return {asked.begin(), asked.end()};
   }
   std::set<BackendId> polled = dispatcher ? dispatcher->owned() : std::set<BackendId>();
@@ -924,7 +926,7 @@
 
 void NodeCore::report_unattributed_calls(const BackendId& id) {
   const routing::Backend* backend = registry.find(id);
-  if (announcer && backend != nullptr && registry.unexplained(*backend) > 0) {
+  if (announcer && backend != nullptr && registry.unattributed(*backend) > 0) {
     announcer->changed(id);
   }
 }
@@ -1000,14 +1002,14 @@
 
 void NodeCore::report_queues() {
   environment.after(kQueueReportInterval, lifetime_.guard([this] { report_queues(); }));
-  const std::vector<wire::QueuedJobT> closed = jobs->take_closed();
+  const std::vector<wire::QueuedJobT> closed = jobs->take_ended_jobs();
   if (!queues->limited()) {
     return;
   }
   for (const wire::QueuedJobT& job : closed) {
     queues->close(job.route, JobId(job.job));
   }
-  queues->set_managed(jobs->queued_jobs());
+  queues->set_managed_jobs(jobs->queued_jobs());
 }
 
 void NodeCore::refresh_activity() {
@@ -1019,7 +1021,7 @@
     call_reporter->set_time_to_yield(forwarder->time_to_yield());
   }
   if (announcer) {
-    shared_calls.forget_silent(environment.now());
+    shared_calls.forget_unresponsive_nodes(environment.now());
     if (forwarder) {
       forwarder->use_shared_calls(shared_calls, announcer->delay());
       announcer->set_time_to_yield(forwarder->time_to_yield());
--- a/src/node/node_core.hpp
+++ b/src/node/node_core.hpp
@@ -57,10 +57,10 @@
   ledger::change_guards changes;
   bool cancel_is_durable = true;  ///< A cancellation is stored before it is confirmed.
   bool reject_older_config = true;
-  bool emptied_after_handover = true;    ///< A disk is reported as drained only once other disks hold its records.
+  bool drained_after_handover = true;    ///< A disk is reported as drained only once other disks hold its records.
   bool copies_arrive = true;             ///< A new disk receives copies of the records that the other members hold.
-  bool copies_arrive_soon = true;        ///< The copies arrive within the time that a machine has to catch up.
-  bool groups_checked_soon = true;       ///< Maintainers check the groups several times within that time.
+  bool copies_arrive_in_time = true;     ///< The copies arrive within the time that a machine has to catch up.
+  bool groups_checked_in_time = true;    ///< Maintainers check the groups several times within that time.
   bool disks_keep_identity = true;       ///< A disk keeps its identity when it comes back.
   bool clock_counts_suspension = true;   ///< The clock advances while the machine is suspended.
   bool tell_activity = true;             ///< Gateways report live calls to the scheduler of the engine.
@@ -117,12 +117,12 @@
   /// @return whether a draining node still holds records that other nodes have to copy before it stops.
   bool hands_over_records() const;
   /// @return whether callers can be served: the configuration is known, the node does not drain and, if it has a
-  ///         replica, holds_its_records() is true.
+  ///         replica, replica_is_current() is true.
   bool ready() const;
   /// @return whether this node's disk holds the records that the replica groups have placed on it. A disk that replaces
   ///         a lost one holds them only once it has been admitted and has copied them; no other disk may be given up
   ///         before that.
-  bool holds_its_records() const;
+  bool replica_is_current() const;
   /// Called when the disk refuses writes or is not open yet: the replica answers no requests until the disk is back.
   void on_disk_refused();
   /// Called when the disk, which could not be opened at the start of the node, is open and identified as @p disk.
@@ -134,16 +134,16 @@
   /// Notifies the schedulers that manage and dispatch @p job of its submission or cancellation.
   void announce_job(const JobId& job, bool cancelled);
   std::size_t gateway_count() const;
-  /// Calls @p done with true once this node knows routes and back ends, or with false after kConfigurationWait. A node
-  /// that has just started learns them within some hundred milliseconds, sooner than a caller would retry.
+  /// Calls @p done with true once this node knows routes and back ends, or with false after kConfigurationTimeout. A
+  /// node that has just started learns them within some hundred milliseconds, sooner than a caller would retry.
   void when_configured(std::function<void(bool)> done);
-  static constexpr Duration kConfigurationWait = 1s;
+  static constexpr Duration kConfigurationTimeout = 1s;
   /// @return whether a caller with the credentials @p shown may use the fleet under the current configuration, and the
   ///         caller's tenant.
   tenancy::identity authenticate(const tenancy::credentials& shown) const;
 
   std::string address_of(const BackendId& backend) const override;
-  bool takes_work(const BackendId& backend) const override;
+  bool accepts_work(const BackendId& backend) const override;
   bool is_leaving(const BackendId& backend) const override;
   std::size_t connection_share(const BackendId& backend) const override;
   void on_load(const BackendId& backend, const routing::LoadReport& report) override;
@@ -190,7 +190,7 @@
   std::unique_ptr<ledger::replica_journal> replica_journal;  ///< Only on ledger nodes.
   std::unique_ptr<ledger::group_health> group_health;
   routing::Registry registry;
-  routing::ClaimBook claims;
+  routing::ClaimStore claims;
   routing::LiveRouter live;
   routing::ServiceRouter services;
   quarantine::end_detector detector;
--- a/src/node/peer_memory.cpp
+++ b/src/node/peer_memory.cpp
@@ -34,7 +34,7 @@
                          membership::Membership& members)
     : environment_(environment), counters_(counters), log_(log), members_(members) {}
 
-void peer_memory::keep_in(ledger::Storage& storage) {
+void peer_memory::store_in(ledger::Storage& storage) {
   const bool first = storage_ == nullptr;
   storage_ = &storage;
   if (!read_) {
--- a/src/node/peer_memory.hpp
+++ b/src/node/peer_memory.hpp
@@ -18,7 +18,7 @@
 
   /// Reads the list from @p storage unless it was read before, and stores changes there from then on. A list that
   /// cannot be read now is not overwritten; a corrupted list counts as empty.
-  void keep_in(ledger::Storage& storage);
+  void store_in(ledger::Storage& storage);
 
   static constexpr char kKey[] = "m/peers";  ///< Key of the record, a MemberSync.
   static constexpr Duration kCheckInterval = 1s;
