--- a/src/config/versioned_table.cpp
+++ b/src/config/versioned_table.cpp
@@ -184,7 +184,7 @@
   if (!known || claimed < as_of_ + kMinAgeImprovement) {
     return;
   }
-  if (!ask_for_age) {
+  if (!verify_age) {
     as_of_ = claimed;
   } else if (!age_requested_at_ || environment_.now() - *age_requested_at_ > kAgeReplyTimeout) {
     request_age(peer);
--- a/src/config/versioned_table.hpp
+++ b/src/config/versioned_table.hpp
@@ -82,7 +82,7 @@
                          bool complete = false, Timestamp as_of = {});
   /// Records that a pending watch of the source had delivered nothing up to @p until, a time up to which this node is
   /// known to have read everything that had arrived.
-  void note_unchanged(Timestamp until) { watched_until_ = std::max(watched_until_, until); }
+  void record_unchanged(Timestamp until) { watched_until_ = std::max(watched_until_, until); }
   /// Handles a peer's claim that it holds @p revision. A claim may have been queued for long before it is read, so its
   /// age is trusted only once the peer has answered a request for it.
   /// @param age_ms time since the source was last known to have no later revision, as of the sending of the claim.
@@ -109,7 +109,7 @@
   void handle(const wire::RevisionAnswerT& message);
 
   /// The simulation sets this to false to trust the age in a peer's claim without asking the peer.
-  bool ask_for_age = true;
+  bool verify_age = true;
 
  private:
   /// @return whether @p changes advanced the table, so that its revision should be announced to peers.
