--- a/src/common/word_numbers.hpp
+++ b/src/common/word_numbers.hpp
@@ -23,7 +23,7 @@
 };
 
 /// Keeps the highest sequence number of one sender. Reports from a version without numbers (0) are always accepted.
-class latest_word {
+class latest_message_number {
  public:
   /// Accepts report @p number if it is later than all reports before it.
   /// @return whether it was accepted.
