--- a/src/simulation/driver.cpp
+++ b/src/simulation/driver.cpp
@@ -48,7 +48,7 @@
     if (profile_.loss_series) {
       const auto& page_times = profile_.successors_judged ? kShortCopyPageTimes : kCopyPageTimes;
       const Duration page_time = page_times.at(Random(seed).below(page_times.size()));
-      fleet_.copy_page_time = fleet_.guards.copies_arrive_soon ? page_time : kLateCopyPage;
+      fleet_.copy_page_time = fleet_.guards.copies_arrive_in_time ? page_time : kLateCopyPage;
     }
     check_regularly();
     declare_basics();
--- a/src/simulation/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -238,7 +238,7 @@
   if (profile.loss_series) {
     use_deployed_times(options);
   }
-  if (!guards.groups_checked_soon) {
+  if (!guards.groups_checked_in_time) {
     options.controller.group_check = kRareGroupCheck;
   }
   NodeLife life;
@@ -252,7 +252,7 @@
                              *life.platform, *life.log, life.upstream.get()},
       options);
   if (life.core->dispatcher) {
-    life.core->dispatcher->on_start = [this](const JobId& job, std::uint32_t index) {
+    life.core->dispatcher->on_item_started = [this](const JobId& job, std::uint32_t index) {
       oracle.item_started(job.str(), index, world.now());
     };
   }
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -59,7 +59,7 @@
 
   Result<std::optional<wire::Bytes>> get(const std::string& key) const override;
   void put(const std::string& key, const wire::Bytes& value) override;
-  void put_together(const std::vector<Entry>& entries) override;
+  void put_atomically(const std::vector<Entry>& entries) override;
   Status scan(const std::string& prefix, const std::string& after,
               const std::function<bool(std::string_view, std::string_view)>& visit) const override;
   void flush(std::function<void(Status)> done) override;
--- a/src/simulation/group_watch.cpp
+++ b/src/simulation/group_watch.cpp
@@ -285,7 +285,7 @@
         times.push_back(world_.now() - since);
       }
     };
-    fleet_.core(reader).ledger.scan_within(kReadingPatience, key, 2, take);
+    fleet_.core(reader).ledger.scan_with_timeout(kReadingPatience, key, 2, take);
   }
 }
 
--- a/src/simulation/sim_platform.cpp
+++ b/src/simulation/sim_platform.cpp
@@ -23,7 +23,7 @@
   const std::uint64_t life = process.life();
   fleet_.world.schedule(fleet_.conditions.platform_delay, [this, node, state, done, &process, life] {
     const bool down = !fleet_.platform_answers(node_);
-    const bool empty = state == object_store::RetirementState::completed || !fleet_.guards.emptied_after_handover;
+    const bool empty = state == object_store::RetirementState::completed || !fleet_.guards.drained_after_handover;
     if (!down && empty && process.life() == life) {
       fleet_.note_emptied(node_);
     }
--- a/src/simulation/sim_storage.cpp
+++ b/src/simulation/sim_storage.cpp
@@ -17,7 +17,7 @@
   log_.push_back({writes_, key, value});
 }
 
-void SimStorage::put_together(const std::vector<Entry>& entries) {
+void SimStorage::put_atomically(const std::vector<Entry>& entries) {
   for (const Entry& entry : entries) {
     put(entry.key, entry.value);  // a crash takes all that was not flushed
   }
