--- a/tests/batch/dispatcher_test.cpp
+++ b/tests/batch/dispatcher_test.cpp
@@ -155,7 +155,7 @@
   const auto asked = [&fixture] {
     std::size_t times = 0;
     for (std::uint64_t round = 0; round < Dispatcher::kIdlePollRounds; ++round) {
-      times += fixture.dispatcher.worth_asking(round).size();
+      times += fixture.dispatcher.engines_to_poll(round).size();
     }
     return times;
   };
--- a/tests/batch/queue_limiter_test.cpp
+++ b/tests/batch/queue_limiter_test.cpp
@@ -27,7 +27,7 @@
     for (auto& node : nodes_) {
       node->members.start();
       node->ledger.on_group_map({{{1, {{NodeId("ledger"), DiskId("d")}}}}});
-      node->limiter.set_least_limit(kLimit);
+      node->limiter.set_lowest_limit(kLimit);
       node->limiter.start();
       node->report();
     }
@@ -117,7 +117,7 @@
         queued.tokens = tokens;
         jobs.push_back(queued);
       }
-      limiter.set_managed(jobs);
+      limiter.set_managed_jobs(jobs);
     }
 
     LimiterFleet& fleet;
--- a/tests/forwarding/engine_choice_test.cpp
+++ b/tests/forwarding/engine_choice_test.cpp
@@ -46,16 +46,16 @@
   // Guards against live replies that wait 300 to 470 ms behind the prefill of a prompt sent by another gateway.
   ChoiceFixture fixture;
   CHECK(fixture.times_chosen(fixture.engines[1]) > 0);
-  fixture.engines[1].reading_until = fixture.now + 200ms;
+  fixture.engines[1].prefill_until = fixture.now + 200ms;
   // The bound leaves room for rare choices of an engine in prefill; it does not require that there are none.
   CHECK(fixture.times_chosen(fixture.engines[1]) < 10);
-  fixture.engines[1].reading_until = fixture.now;
+  fixture.engines[1].prefill_until = fixture.now;
   CHECK(fixture.times_chosen(fixture.engines[1]) > 10);
 }
 
 TEST_CASE("an engine that prefills a long prompt is still chosen when the others have far more load") {
   ChoiceFixture fixture;
-  fixture.engines[1].reading_until = fixture.now + 200ms;
+  fixture.engines[1].prefill_until = fixture.now + 200ms;
   for (const unsigned other : {0U, 2U, 3U}) {
     fixture.engines[other].online_in_flight = 6;
   }
@@ -66,7 +66,7 @@
   ChoiceFixture fixture;
   const routing::Backend& first = choose_backend({fixture.candidates(), "key", fixture.now, 1});
   CHECK(fixture.times_chosen(first, "key") == 200);
-  const_cast<routing::Backend&>(first).reading_until = fixture.now + 200ms;
+  const_cast<routing::Backend&>(first).prefill_until = fixture.now + 200ms;
   const routing::Backend& second = choose_backend({fixture.candidates(), "key", fixture.now, 1});
   CHECK(&second != &first);
   CHECK(fixture.times_chosen(second, "key") == 200);
@@ -114,7 +114,7 @@
   routing::shared_calls shared;
   shared.take(call_report(fixture.engines[1].machine.id, 1, 0), fixture.now);
   fixture.engines[0].reported_at = fixture.now - 100ms;
-  fixture.engines[0].unexplained = 8;
+  fixture.engines[0].unattributed = 8;
   CHECK(calls_at(fixture.engines[0], shared, fixture.now).live == 8);
   CHECK(calls_at(fixture.engines[0], shared, fixture.now + 5s).live == 0);
   ChoiceInput input{fixture.candidates(), "", fixture.now, 1};
--- a/tests/forwarding/forwarder_test.cpp
+++ b/tests/forwarding/forwarder_test.cpp
@@ -38,7 +38,7 @@
  public:
   bool active() const override { return on; }
   void note_request(bool long_start) override { long_starts += long_start ? 1 : 0; }
-  ticket place(const place_query& query, placed done) override {
+  ticket place(const placement_query& query, placed done) override {
     queries.push_back(query);
     answers.push_back(std::move(done));
     return answers.size();
@@ -46,7 +46,7 @@
   void withdraw(ticket question) override { withdrawn.push_back(question); }
 
   bool on = true;
-  std::vector<place_query> queries;
+  std::vector<placement_query> queries;
   std::vector<placed> answers;
   std::vector<ticket> withdrawn;
   int long_starts = 0;
@@ -369,7 +369,7 @@
   placed_fixture fixture;
   fixture.start();
   CHECK(fixture.upstream.calls.empty());
-  fixture.placer.answers.at(0)(place_answer{BackendId("engine-2"), false});
+  fixture.placer.answers.at(0)(engine_assignment{BackendId("engine-2"), false});
   REQUIRE(fixture.upstream.calls.size() == 1);
   CHECK(fixture.call(0).call.backend == BackendId("engine-2"));
 }
@@ -388,14 +388,14 @@
   }
   fixture.start();
   SECTION("an engine that accepts requests") {
-    fixture.placer.answers.at(0)(place_answer{BackendId(other), false});
+    fixture.placer.answers.at(0)(engine_assignment{BackendId(other), false});
     REQUIRE(fixture.upstream.calls.size() == 1);
     CHECK(fixture.call(0).call.backend.str() == other);
     CHECK(fixture.counters["forward_places_own_choice_total"] == 0);
   }
   SECTION("an engine that this node could not reach") {
     fixture.registry.on_failure(BackendId(other), CallFailure::not_sent);
-    fixture.placer.answers.at(0)(place_answer{BackendId(other), false});
+    fixture.placer.answers.at(0)(engine_assignment{BackendId(other), false});
     REQUIRE(fixture.upstream.calls.size() == 1);
     CHECK(fixture.call(0).call.backend.str() != other);
   }
@@ -405,12 +405,12 @@
   placed_fixture fixture;
   fixture.registry.set_warm_up("pool", {3s, 5});
   for (const auto& key : fixture.keys) {
-    fixture.registry.note_possible_start(BackendId(key.name));
+    fixture.registry.note_possible_restart(BackendId(key.name));
   }
   SECTION("active placer") {
     fixture.start();
     REQUIRE(fixture.placer.answers.size() == 1);
-    fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
+    fixture.placer.answers.at(0)(engine_assignment{BackendId("engine-1"), false});
     CHECK(fixture.call(0).call.backend.str() == "engine-1");
   }
   SECTION("no placer, gateway not allowed") {
@@ -434,7 +434,7 @@
   placed_fixture fixture;
   fixture.start();
   SECTION("no engine") { fixture.placer.answers.at(0)(std::nullopt); }
-  SECTION("unknown engine") { fixture.placer.answers.at(0)(place_answer{BackendId("elsewhere"), false}); }
+  SECTION("unknown engine") { fixture.placer.answers.at(0)(engine_assignment{BackendId("elsewhere"), false}); }
   CHECK(fixture.upstream.calls.size() == 1);
   CHECK(fixture.counters["forward_places_own_choice_total"] == 1);
 }
@@ -442,12 +442,12 @@
 TEST_CASE("a second send queries the placer again and excludes the first engine") {
   placed_fixture fixture;
   fixture.start();
-  fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
+  fixture.placer.answers.at(0)(engine_assignment{BackendId("engine-1"), false});
   fixture.call(0).events.failed(CallFailure::not_sent);
   REQUIRE(fixture.placer.queries.size() == 2);
   CHECK(fixture.placer.queries.at(1).excluded.contains(BackendId("engine-1")));
   fixture.placer.answers.at(1)(
-      place_answer{BackendId("engine-1"), false});  // was tried before, so it is not used again
+      engine_assignment{BackendId("engine-1"), false});  // was tried before, so it is not used again
   REQUIRE(fixture.upstream.calls.size() == 2);
   CHECK(fixture.call(1).call.backend != BackendId("engine-1"));
 }
@@ -457,7 +457,7 @@
   const ForwardId id = fixture.start();
   fixture.forwarder.cancel(id);
   CHECK(fixture.forwarder.active() == 0);
-  fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
+  fixture.placer.answers.at(0)(engine_assignment{BackendId("engine-1"), false});
   CHECK(fixture.upstream.calls.empty());
 }
 
@@ -467,14 +467,14 @@
   fixture.environment.world.run_for(1100ms);
   REQUIRE(fixture.caller.refusal);
   CHECK(fixture.caller.refusal->ran == routing::Ran::no);
-  fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
+  fixture.placer.answers.at(0)(engine_assignment{BackendId("engine-1"), false});
   CHECK(fixture.upstream.calls.empty());
 }
 
 TEST_CASE("a request that may have run before is refused as unknown at a deadline during a placer query") {
   placed_fixture fixture;
   fixture.start();
-  fixture.placer.answers.at(0)(place_answer{BackendId("engine-1"), false});
+  fixture.placer.answers.at(0)(engine_assignment{BackendId("engine-1"), false});
   fixture.call(0).events.failed(CallFailure::broken);
   REQUIRE(fixture.placer.queries.size() == 2);
   fixture.environment.world.run_for(1100ms);
@@ -495,17 +495,17 @@
 /// Records the reported calls; the test decides whether a back end terminated.
 class scripted_guard : public routing::repeat_guard {
  public:
-  bool remembers_any() const override { return suspected || held; }
+  bool has_records() const override { return suspected || held; }
   bool suspects(const routing::request_fingerprint&) const override { return suspected; }
-  bool holds_back(const routing::request_fingerprint&, const std::string&) override { return held; }
-  bool allows_retrial(const routing::request_fingerprint&) const override { return false; }
-  bool beyond_doubt(const routing::request_fingerprint&) const override { return false; }
+  bool is_quarantined(const routing::request_fingerprint&, const std::string&) override { return held; }
+  bool allows_isolated_retry(const routing::request_fingerprint&) const override { return false; }
+  bool is_confirmed_fatal(const routing::request_fingerprint&) const override { return false; }
   void call_broke(const routing::broken_call& call, decided done) override {
     broken.push_back(call);
     verdicts.push_back(std::move(done));
   }
   void call_answered(const routing::request_fingerprint&) override { ++answered; }
-  Duration undecided_for(const routing::request_fingerprint&) const override { return undecided; }
+  Duration undecided_wait(const routing::request_fingerprint&) const override { return undecided; }
 
   Duration undecided = Duration::zero();
   bool suspected = false;
@@ -521,7 +521,7 @@
   Fixture fixture;
   scripted_guard guard;
   guard.held = true;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   fixture.start();
   CHECK(fixture.upstream.calls.empty());
   REQUIRE(fixture.caller.refusal);
@@ -535,7 +535,7 @@
   scripted_guard guard;
   guard.suspected = true;
   guard.undecided = 60ms;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   fixture.start();
   fixture.environment.world.run_for(59ms);
   CHECK(fixture.upstream.calls.empty());
@@ -559,12 +559,12 @@
   Fixture fixture;
   scripted_guard guard;
   scripted_placer placer;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   fixture.forwarder.use_placer(placer);
   fixture.start();
   REQUIRE(placer.answers.size() == 1);
   guard.held = true;
-  placer.answers[0](place_answer{BackendId("engine-1")});
+  placer.answers[0](engine_assignment{BackendId("engine-1")});
   CHECK(fixture.upstream.calls.empty());
   REQUIRE(fixture.caller.refusal);
   CHECK(fixture.caller.refusal->error.kind == ErrorKind::quarantined);
@@ -577,27 +577,27 @@
   Fixture fixture;
   scripted_guard guard;
   scripted_placer placer;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   fixture.forwarder.use_placer(placer);
   fixture.start();
   REQUIRE(placer.answers.size() == 1);
   guard.held = true;
   guard.undecided = 60ms;
-  placer.answers[0](place_answer{BackendId("engine-1")});
+  placer.answers[0](engine_assignment{BackendId("engine-1")});
   CHECK(fixture.upstream.calls.empty());
   CHECK_FALSE(fixture.caller.refusal);
   guard.held = false;
   guard.undecided = Duration::zero();
   fixture.environment.world.run_for(61ms);
   REQUIRE(placer.answers.size() == 2);
-  placer.answers[1](place_answer{BackendId("engine-1")});
+  placer.answers[1](engine_assignment{BackendId("engine-1")});
   CHECK(fixture.upstream.calls.size() == 1);
 }
 
 TEST_CASE("a call that is not suspected is retried at once after its first broken connection") {
   Fixture fixture;
   scripted_guard guard;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   fixture.start();
   fixture.call(0).events.failed(CallFailure::broken);
   CHECK(guard.broken.size() == 1);
@@ -612,7 +612,7 @@
   Fixture fixture;
   scripted_guard guard;
   guard.suspected = true;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   fixture.start();
   fixture.call(0).events.failed(CallFailure::broken);
   CHECK(fixture.upstream.calls.size() == 1);
@@ -627,7 +627,7 @@
   Fixture fixture(5);
   fixture.route->max_attempts = 5;
   scripted_guard guard;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   fixture.start();
   fixture.call(0).events.failed(CallFailure::broken);
   guard.verdicts.at(0)(true);
@@ -645,7 +645,7 @@
   Fixture fixture;
   scripted_guard guard;
   guard.suspected = true;
-  fixture.forwarder.use_repeat_guard(guard);
+  fixture.forwarder.set_repeat_guard(guard);
   const ForwardId id = fixture.start();
   fixture.call(0).events.failed(CallFailure::broken);
   fixture.forwarder.cancel(id);
--- a/tests/ledger/decision_votes_test.cpp
+++ b/tests/ledger/decision_votes_test.cpp
@@ -15,7 +15,7 @@
 const ReplicaIdentity kC{NodeId("c"), DiskId("disk-c")};
 const Error kUnavailable{ErrorKind::unavailable, "too few"};
 
-decision_votes votes_of(refusal_ground a, refusal_ground b, refusal_ground c) {
+decision_votes votes_of(refusal_reason a, refusal_reason b, refusal_reason c) {
   return {2, {{kA, a}, {kB, b}, {kC, c}}};
 }
 
@@ -30,8 +30,8 @@
   std::optional<decision_votes> votes;
   std::optional<Result<ReplicaGroup>> result;
   unsigned calls = 0;
-  refusal_ground ground() const {
-    return succeeded(*result) ? refusal_ground::none : ground_of(error_of(*result), *votes);
+  refusal_reason ground() const {
+    return succeeded(*result) ? refusal_reason::none : refusal_reason_of(error_of(*result), *votes);
   }
 };
 
@@ -87,46 +87,46 @@
 }  // namespace
 
 TEST_CASE("the refusal reason of an epoch is that of most members that refused it") {
-  constexpr auto kNone = refusal_ground::none;
-  constexpr auto kSilent = refusal_ground::silent;
-  constexpr auto kCopies = refusal_ground::not_admitted;
-  CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kCopies)) == kCopies);
-  CHECK(ground_of(kUnavailable, votes_of(kSilent, kCopies, kCopies)) == kCopies);
-  CHECK(ground_of(kUnavailable, votes_of(kNone, kCopies, kSilent)) ==
+  constexpr auto kNone = refusal_reason::none;
+  constexpr auto kSilent = refusal_reason::silent;
+  constexpr auto kCopies = refusal_reason::not_admitted;
+  CHECK(refusal_reason_of(kUnavailable, votes_of(kNone, kCopies, kCopies)) == kCopies);
+  CHECK(refusal_reason_of(kUnavailable, votes_of(kSilent, kCopies, kCopies)) == kCopies);
+  CHECK(refusal_reason_of(kUnavailable, votes_of(kNone, kCopies, kSilent)) ==
         kSilent);  // a tie: the first in the order of reasons
-  CHECK(ground_of(kUnavailable, votes_of(kNone, kNone, kSilent)) == refusal_ground::not_whole);
-  CHECK(ground_of(kUnavailable, {}) == refusal_ground::other);
+  CHECK(refusal_reason_of(kUnavailable, votes_of(kNone, kNone, kSilent)) == refusal_reason::not_whole);
+  CHECK(refusal_reason_of(kUnavailable, {}) == refusal_reason::other);
   const Error conflict{ErrorKind::conflict, ""};
-  CHECK(ground_of(conflict, votes_of(kNone, kNone, kSilent)) == refusal_ground::epoch_passed);
-  CHECK(ground_of(conflict, {}) == refusal_ground::epoch_passed);
-  CHECK(ground_of(conflict, votes_of(refusal_ground::given_up_answers, kNone, kNone)) ==
-        refusal_ground::given_up_answers);
+  CHECK(refusal_reason_of(conflict, votes_of(kNone, kNone, kSilent)) == refusal_reason::epoch_passed);
+  CHECK(refusal_reason_of(conflict, {}) == refusal_reason::epoch_passed);
+  CHECK(refusal_reason_of(conflict, votes_of(refusal_reason::given_up_answers, kNone, kNone)) ==
+        refusal_reason::given_up_answers);
 }
 
 TEST_CASE("the answer of a member that does not count is reported but is no refusal reason") {
-  decision_votes votes = votes_of(refusal_ground::none, refusal_ground::silent, refusal_ground::silent);
+  decision_votes votes = votes_of(refusal_reason::none, refusal_reason::silent, refusal_reason::silent);
   votes.needed = 1;
   votes.members[0].counts = false;
   votes.members[1].counts = false;
-  votes.members[2].ground = refusal_ground::not_admitted;
+  votes.members[2].ground = refusal_reason::not_admitted;
   CHECK(votes.granted() == 0);
-  CHECK(ground_of(kUnavailable, votes) == refusal_ground::not_admitted);
+  CHECK(refusal_reason_of(kUnavailable, votes) == refusal_reason::not_admitted);
   CHECK(votes.refused_text() == "b/disk-b silent (does not count), c/disk-c not_admitted");
 }
 
 TEST_CASE("each refusal reason has a unique name") {
   std::set<std::string> names;
-  for (const refusal_ground ground : kRefusalGrounds) {
+  for (const refusal_reason ground : kRefusalReasons) {
     names.insert(name_of(ground));
   }
-  CHECK(names.size() == kRefusalGrounds.size());
+  CHECK(names.size() == kRefusalReasons.size());
 }
 
 TEST_CASE("a proposer receives one report of the members that granted a decided epoch and those that did not") {
   const decision_report report = decide({{"a", {}}, {"b", {}}});
   CHECK(report.calls == 1);
   CHECK(succeeded(*report.result));
-  CHECK(report.ground() == refusal_ground::none);
+  CHECK(report.ground() == refusal_reason::none);
   CHECK(report.votes->granted_text() == "a/disk-a, b/disk-b");
   CHECK(report.votes->refused_text() == "c/disk-c silent");
 }
@@ -135,17 +135,17 @@
   const decision_report copies =
       decide({{"a", {}}, {"b", {wire::ReplicaStatus::NotReady}}, {"c", {wire::ReplicaStatus::NotReady}}});
   CHECK(copies.calls == 1);
-  CHECK(copies.ground() == refusal_ground::not_admitted);
+  CHECK(copies.ground() == refusal_reason::not_admitted);
   CHECK(copies.votes->granted_text() == "a/disk-a");
   CHECK(copies.votes->refused_text() == "b/disk-b not_admitted, c/disk-c not_admitted");
 
   const decision_report silent = decide({{"a", {}}});
-  CHECK(silent.ground() == refusal_ground::silent);
+  CHECK(silent.ground() == refusal_reason::silent);
   CHECK(silent.votes->refused_text() == "b/disk-b silent, c/disk-c silent");
 
   const decision_report lacking =
       decide({{"a", {wire::ReplicaStatus::Granted, false}}, {"b", {wire::ReplicaStatus::Granted, false}}});
-  CHECK(lacking.ground() == refusal_ground::not_whole);
+  CHECK(lacking.ground() == refusal_reason::not_whole);
   CHECK(lacking.votes->granted_text() == "a/disk-a not_whole, b/disk-b not_whole");
   CHECK(error_of(*lacking.result).detail.find("those that granted may lack confirmed records") != std::string::npos);
 }
@@ -154,6 +154,6 @@
   EpochRule rule;
   rule.given_up = kC;
   const decision_report report = decide({{"c", {}}}, rule);
-  CHECK(report.ground() == refusal_ground::given_up_answers);
+  CHECK(report.ground() == refusal_reason::given_up_answers);
   CHECK(report.votes->refused_text() == "a/disk-a silent, b/disk-b silent, c/disk-c given_up_answers");
 }
--- a/tests/ledger/epoch_change_test.cpp
+++ b/tests/ledger/epoch_change_test.cpp
@@ -28,7 +28,9 @@
     const auto told = states.find(replica);
     return told == states.end() || told->second == replica_state::present || told->second == replica_state::retiring;
   }
-  bool has_gone(const ReplicaIdentity& leaver) override { return state_of(leaver) == replica_state::missing; }
+  bool is_permanently_gone(const ReplicaIdentity& leaver) override {
+    return state_of(leaver) == replica_state::missing;
+  }
   bool is_retiring(const NodeId& node) const override { return node == retiring; }
   std::vector<disk_place> places() const override { return free; }
   bool is_spare_for(const ReplicaIdentity& spare, const ReplicaIdentity&) const override {
@@ -47,7 +49,7 @@
   fake_fleet_view view;
   view.states[kA] = replica_state::disk_replaced;
   view.free = {{kNewA, "1"}, {kB, "2"}, {kC, "3"}, {kD, "1"}};
-  const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kNewA, kB, kC}, {}});
   CHECK(change->rule.quorum == 2);
@@ -58,7 +60,7 @@
   fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}};
-  const auto change = wanted_change({4, {kA, kB}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kA, kB}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kB}, {}});
   CHECK(change->rule.sole == kB);
@@ -67,7 +69,7 @@
 TEST_CASE("a group that is short of members takes another disk") {
   fake_fleet_view view;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
-  const auto change = wanted_change({4, {kB, kC}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kB, kC, kD}, {}});
 }
@@ -76,7 +78,7 @@
   fake_fleet_view view;
   view.states[kA] = replica_state::retiring;
   view.free = {{kB, "2"}, {kC, "3"}};
-  const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kB, kC}, {kA}});
 }
@@ -86,7 +88,7 @@
   fake_fleet_view view;
   view.states[kA] = replica_state::stopping;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
-  const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kD, kB, kC}, {kA}});
   CHECK(change->rule.whole_majority);
@@ -97,7 +99,7 @@
   fake_fleet_view view;
   view.states[kA] = replica_state::stopping;
   view.free = {{kB, "2"}, {kC, "3"}};
-  CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
+  CHECK_FALSE(next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
 // Guards against rolling restarts that move places from node to node where every disk has some.
@@ -106,7 +108,7 @@
   view.states[kA] = replica_state::stopping;
   view.used_elsewhere = kD;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
-  CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
+  CHECK_FALSE(next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
 TEST_CASE("a draining member is removed beside one whose process was asked to stop and keeps its place") {
@@ -115,7 +117,7 @@
   view.states[kB] = replica_state::retiring;
   view.used_elsewhere = kD;
   view.free = {{kC, "3"}, {kD, "1"}};
-  const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kA, kD, kC}, {kB}});
 }
@@ -125,7 +127,7 @@
   view.states[kA] = replica_state::stopping;
   view.states[kB] = replica_state::stopping;
   view.free = {{kC, "3"}, {kD, "1"}};
-  CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
+  CHECK_FALSE(next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
 // Found by the epoch model: its place stayed empty permanently, so that the next lost disk left no majority.
@@ -134,7 +136,7 @@
   view.states[kA] = replica_state::disk_replaced;
   view.retiring = kA.node;
   view.free = {{kB, "2"}, {kC, "3"}};
-  const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kB, kC}, {}});
   CHECK(change->rule.quorum == 2);
@@ -147,7 +149,7 @@
   view.states[kA] = replica_state::retiring;
   view.states[kB] = replica_state::missing;
   view.free = {{kC, "3"}, {kD, "2"}};
-  const auto change = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
+  const auto change = next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kA, kD, kC}, {kB}});
 }
@@ -158,10 +160,10 @@
   fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}, {kC, "3"}, {kD, "1"}};
-  const auto replaced = wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas);
+  const auto replaced = next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas);
   REQUIRE(replaced);
   CHECK(replaced->next == ReplicaGroup{5, {kD, kB, kC}, {kA}});
-  const auto given_up = wanted_change(replaced->next, view, kReplicas);
+  const auto given_up = next_epoch_change(replaced->next, view, kReplicas);
   REQUIRE(given_up);
   CHECK(given_up->next == ReplicaGroup{6, {kD, kB, kC}, {}});
   CHECK(given_up->rule.whole_majority);
@@ -171,7 +173,7 @@
   fake_fleet_view view;
   view.states[kB] = replica_state::missing;
   view.free = {{kA, "1"}, {kC, "3"}, {kD, "1"}};
-  const auto change = wanted_change({5, {kD, kB, kC}, {kA}}, view, kReplicas);
+  const auto change = next_epoch_change({5, {kD, kB, kC}, {kA}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{6, {kD, kA, kC}, {kB}});
 }
@@ -181,14 +183,14 @@
   view.states[kA] = replica_state::retiring;
   view.states[kB] = replica_state::missing;
   view.free = {{kC, "3"}};
-  CHECK_FALSE(wanted_change({4, {kA, kB, kC}, {}}, view, kReplicas));
+  CHECK_FALSE(next_epoch_change({4, {kA, kB, kC}, {}}, view, kReplicas));
 }
 
 TEST_CASE("a member that has left and is gone is no longer copied from") {
   fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}, {kC, "3"}};
-  const auto change = wanted_change({5, {kB, kC}, {kA}}, view, kReplicas);
+  const auto change = next_epoch_change({5, {kB, kC}, {kA}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{6, {kB, kC}, {}});
   CHECK(change->rule.whole_majority);
@@ -199,7 +201,7 @@
 TEST_CASE("a node that leaves takes no place in the group that it leaves") {
   fake_fleet_view view;
   view.free = {{kA, "1"}, {kB, "2"}, {kC, "3"}};
-  CHECK_FALSE(wanted_change({5, {kB, kC}, {kA}}, view, kReplicas));
+  CHECK_FALSE(next_epoch_change({5, {kB, kC}, {kA}}, view, kReplicas));
 }
 
 // Guards against results lost for good: a pair lost one member while a third, draining disk still held every record;
@@ -210,21 +212,21 @@
   view.states[kC] = replica_state::missing;
   view.retiring = kA.node;
   view.free = {{kB, "2"}};
-  const auto change = wanted_change({5, {kC, kB}, {kA}}, view, kReplicas);
+  const auto change = next_epoch_change({5, {kC, kB}, {kA}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{6, {kA, kB}, {kC}});
   CHECK(change->rule.sole == kB);
   SECTION("and stays while no other disk is free") {
     view.states[kC] = replica_state::disk_replaced;
-    CHECK(wanted_change({6, {kA, kB}, {}}, view, kReplicas) == std::nullopt);
+    CHECK(next_epoch_change({6, {kA, kB}, {}}, view, kReplicas) == std::nullopt);
   }
   SECTION("and is removed once a new disk has joined") {
     const ReplicaIdentity new_c{kC.node, DiskId("disk-c2")};
     view.free = {{kB, "2"}, {new_c, "3"}};
-    const auto joined = wanted_change({6, {kA, kB}, {}}, view, kReplicas);
+    const auto joined = next_epoch_change({6, {kA, kB}, {}}, view, kReplicas);
     REQUIRE(joined);
     CHECK(joined->next == ReplicaGroup{7, {kA, kB, new_c}, {}});
-    const auto let_go = wanted_change(joined->next, view, kReplicas);
+    const auto let_go = next_epoch_change(joined->next, view, kReplicas);
     REQUIRE(let_go);
     CHECK(let_go->next == ReplicaGroup{8, {kB, new_c}, {kA}});
   }
@@ -235,7 +237,7 @@
   view.states[kA] = replica_state::retiring;
   view.retiring = kA.node;
   view.free = {{kB, "2"}, {kC, "3"}};
-  const auto change = wanted_change({6, {kA, kB}, {kC}}, view, kReplicas);
+  const auto change = next_epoch_change({6, {kA, kB}, {kC}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{7, {kA, kB, kC}, {}});
 }
@@ -244,7 +246,7 @@
   fake_fleet_view view;
   view.states[kA] = replica_state::missing;
   view.free = {{kB, "2"}};
-  const auto change = wanted_change({5, {kB}, {kA}}, view, kReplicas);
+  const auto change = next_epoch_change({5, {kB}, {kA}}, view, kReplicas);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{6, {kB}, {}});
   CHECK(change->rule.whole_majority);
@@ -260,7 +262,7 @@
   view.states[kA] = replica_state::missing;
   view.states[kB] = replica_state::disk_replaced;
   view.free = {{new_b, "2"}, {kC, "3"}, {kD, "1"}, {e, "1"}};
-  const auto change = wanted_change({4, {kA, kB, kC, kD}, {}}, view, 5);
+  const auto change = next_epoch_change({4, {kA, kB, kC, kD}, {}}, view, 5);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{5, {kA, new_b, kC, kD}, {}});
   CHECK(change->rule.quorum == 2);
@@ -270,10 +272,10 @@
   fake_fleet_view view;
   view.free = {{kA, "1"}, {kB, "2"}, {kC, "3"}};
   const ReplicaGroup group{5, {kB, kC}, {kA}};
-  CHECK_FALSE(wanted_change(group, view, kReplicas));
+  CHECK_FALSE(next_epoch_change(group, view, kReplicas));
   change_guards guards;
-  guards.leavers_stay_out = false;
-  const auto change = wanted_change(group, view, kReplicas, guards);
+  guards.exclude_leaving_members = false;
+  const auto change = next_epoch_change(group, view, kReplicas, guards);
   REQUIRE(change);
   CHECK(change->next == ReplicaGroup{6, {kB, kC, kA}, {}});
 }
--- a/tests/ledger/epoch_model.cpp
+++ b/tests/ledger/epoch_model.cpp
@@ -747,7 +747,7 @@
         named.insert(named.end(), present.leaving.begin(), present.leaving.end());
       }
       believed_fleet fleet(view, unresponsive_are_missing, std::move(named));
-      known->second = ledger::wanted_change(group, fleet, scope_.disks);
+      known->second = ledger::next_epoch_change(group, fleet, scope_.disks);
     }
     return known->second;
   }
--- a/tests/ledger/gone_disks_test.cpp
+++ b/tests/ledger/gone_disks_test.cpp
@@ -119,7 +119,7 @@
 TEST_CASE("without the policy's time no disk counts as permanently gone because its node is unresponsive") {
   fixture fleet;
   fleet.gone.known().patience = nullptr;
-  fleet.gone.known().is_emptied = nullptr;
+  fleet.gone.known().is_drained = nullptr;
   fleet.gone.known().is_obsolete = nullptr;
   fleet.b().state = wire::MemberState::Dead;
   fleet.run_for(10 * kPatience);
--- a/tests/ledger/group_health_test.cpp
+++ b/tests/ledger/group_health_test.cpp
@@ -41,7 +41,7 @@
           const auto member = members.find(id);
           return member == members.end() ? nullptr : &member->second;
         });
-    client.on_asked = [this](const NodeId& node) { health->on_asked(node); };
+    client.on_request_sent = [this](const NodeId& node) { health->on_request_sent(node); };
     client.on_refusal = [this](const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch,
                                wire::ReplicaStatus status) { health->on_refusal(sender, group, epoch, status); };
     client.on_granted = [this](const PeerAddress& sender, std::uint32_t group, std::uint64_t epoch) {
@@ -197,7 +197,7 @@
   fixture node(false);
   for (int request = 0; request < 12; ++request) {
     for (const ReplicaIdentity& member : {kA, kB, kC}) {
-      node.health->on_asked(member.node);
+      node.health->on_request_sent(member.node);
     }
     node.health->on_heard(fixture::address_of(kA.node));
     node.run_for(400ms);
@@ -449,8 +449,8 @@
 // on-call engineers could not tell these from disks that would be back.
 TEST_CASE("a group without a majority logs which of its disks are permanently gone, each set once") {
   fixture node(false, {1, {kA, kB, kC}, {ReplicaIdentity{NodeId("d"), DiskId("disk-d")}}});
-  node.health->judge_losses([] { return Duration(60s); },
-                            [](const NodeId& id) { return std::optional(id == NodeId("d")); });
+  node.health->set_loss_criteria([] { return Duration(60s); },
+                                 [](const NodeId& id) { return std::optional(id == NodeId("d")); });
   node.members[kC.node].disk_id = "disk-c2";
   node.run_for(10s);
   CHECK(node.health->view(0).gone.empty());  // it has a majority
--- a/tests/ledger/model_fleet.cpp
+++ b/tests/ledger/model_fleet.cpp
@@ -52,7 +52,7 @@
   return believed(one) && one.disk_number == wanted.number;
 }
 
-bool believed_fleet::has_gone(const ReplicaIdentity& leaver) {
+bool believed_fleet::is_permanently_gone(const ReplicaIdentity& leaver) {
   const ledger::replica_state state = state_of(leaver);
   return state == ledger::replica_state::disk_replaced || state == ledger::replica_state::missing;
 }
--- a/tests/ledger/model_fleet.hpp
+++ b/tests/ledger/model_fleet.hpp
@@ -54,7 +54,7 @@
 
   ledger::replica_state state_of(const ledger::ReplicaIdentity& replica) override;
   bool is_there(const ledger::ReplicaIdentity& replica) const override;
-  bool has_gone(const ledger::ReplicaIdentity& leaver) override;
+  bool is_permanently_gone(const ledger::ReplicaIdentity& leaver) override;
   bool is_retiring(const NodeId& node) const override;
   /// Always true, since the model has one group.
   bool is_spare_for(const ledger::ReplicaIdentity& spare, const ledger::ReplicaIdentity& stopping) const override;
--- a/tests/ledger/place_consents_test.cpp
+++ b/tests/ledger/place_consents_test.cpp
@@ -73,7 +73,7 @@
 TEST_CASE("a draining disk takes no place, except where a group has no other disk") {
   spare_disk disk;
   disk.learn_epoch(kDecided);
-  disk.replica->begin_emptying();
+  disk.replica->begin_draining();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Retiring);
   CHECK(disk.may_go());
   CHECK(disk.offer(kDecided + 1, true) == PlaceConsent::Given);
@@ -84,7 +84,7 @@
   spare_disk disk;
   disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
-  disk.replica->begin_emptying();
+  disk.replica->begin_draining();
   CHECK_FALSE(disk.may_go());
   CHECK(disk.replica->open_places() == std::vector<open_place>{{0, kDecided + 1}});
   SECTION("it does not") {
@@ -105,7 +105,7 @@
   disk.storage.crash();
   disk.start();
   disk.learn_epoch(kDecided);
-  disk.replica->begin_emptying();
+  disk.replica->begin_draining();
   CHECK_FALSE(disk.may_go());
 }
 
@@ -118,7 +118,7 @@
   disk.start();
   disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Retiring);
-  disk.replica->keep_disk();
+  disk.replica->cancel_draining();
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
 }
 
@@ -214,7 +214,7 @@
   REQUIRE(disk.note_emptied());
   disk.storage.crash();
   disk.start_unread();
-  disk.replica->keep_disk();
+  disk.replica->cancel_draining();
   disk.replica->restore();
   disk.learn_epoch(kDecided);
   CHECK(disk.offer(kDecided + 1) == PlaceConsent::Given);
--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -23,15 +23,15 @@
     ++flushes;
     SimStorage::flush(std::move(done));
   }
-  void put_together(const std::vector<Entry>& entries) override {
+  void put_atomically(const std::vector<Entry>& entries) override {
     last_together.clear();
     for (const Entry& entry : entries) {
       last_together.push_back(entry.key);
     }
-    SimStorage::put_together(entries);
+    SimStorage::put_atomically(entries);
   }
   unsigned flushes = 0;
-  std::vector<std::string> last_together;  ///< Keys of the last put_together() call.
+  std::vector<std::string> last_together;  ///< Keys of the last put_atomically() call.
 };
 
 /// One replica with a disk.
--- a/tests/ledger/rocksdb_power_loss_test.cpp
+++ b/tests/ledger/rocksdb_power_loss_test.cpp
@@ -317,7 +317,7 @@
     files.hold();
     RocksDbStorage& storage = *value_of(opened);
     for (unsigned number = 0; number < kRecords; ++number) {
-      storage.put_together({{key_of(number), wire::Bytes(kRecordBytes, 1)}, {pair_of(number), {1}}});
+      storage.put_atomically({{key_of(number), wire::Bytes(kRecordBytes, 1)}, {pair_of(number), {1}}});
       if (number + 1 == kSyncedRecords) {
         flush(storage);
       }
--- a/tests/ledger/rocksdb_power_schedules_test.cpp
+++ b/tests/ledger/rocksdb_power_schedules_test.cpp
@@ -139,7 +139,7 @@
       value[index] = static_cast<std::uint8_t>(version >> (8 * index));
     }
     records_.at(number).there = version;
-    storage.put_together({{key_of(number), value}, {pair_of(number), value}});
+    storage.put_atomically({{key_of(number), value}, {pair_of(number), value}});
   }
 
   void confirm(RocksDbStorage& storage, const lossy_files& files) {
--- a/tests/ledger/rocksdb_storage_test.cpp
+++ b/tests/ledger/rocksdb_storage_test.cpp
@@ -107,12 +107,12 @@
     auto opened = RocksDbStorage::open(folder.path().string(), tasks.executors(), &files);
     REQUIRE(succeeded(opened));
     storage = std::move(value_of(opened));
-    DiskTroubleHooks hooks;
+    DiskFailureHooks hooks;
     hooks.refused = [this](const Error& error) {
       CHECK(error.kind == ErrorKind::storage_unwritable);
       ++refused;
     };
-    hooks.still_refused = [this](const Error&) { ++still_refused; };
+    hooks.reopen_failed = [this](const Error&) { ++reopen_failed; };
     hooks.regained = [this] { ++regained; };
     storage->set_hooks(std::move(hooks));
   }
@@ -131,7 +131,7 @@
   unsigned flushed = 0;
   unsigned failed = 0;
   unsigned refused = 0;
-  unsigned still_refused = 0;
+  unsigned reopen_failed = 0;
   unsigned regained = 0;
 };
 
@@ -185,7 +185,7 @@
   CHECK_FALSE(succeeded(fixture.storage->get("before")));
   fixture.tasks.pass_time();
   fixture.tasks.pass_time();
-  CHECK(fixture.still_refused == 2);
+  CHECK(fixture.reopen_failed == 2);
   CHECK(fixture.regained == 0);
   fixture.storage->put("during", {2});
   fixture.flush();
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -145,11 +145,11 @@
       Hooks hooks;
       hooks.local_revisions = [] { return TableRevisions{}; };
       hooks.on_peer_revisions = [](const PeerAddress&, const TableRevisions&) {};
-      hooks.on_not_found = [this](const fleet_search& search) {
+      hooks.on_fleet_not_found = [this](const fleet_search& search) {
         const auto alone = std::to_string(search.alone(now()) / 1s);
         search_reports.push_back("alone for " + alone + " s, asked " + std::to_string(search.seeds_asked));
       };
-      hooks.on_found = [this](const fleet_search&, const PeerAddress& by, found_by who) {
+      hooks.on_fleet_found = [this](const fleet_search&, const PeerAddress& by, discovery_source who) {
         search_reports.push_back("found by " + std::string(name_of(who)) + " " + by.str());
       };
       return hooks;
--- a/tests/node/peer_memory_test.cpp
+++ b/tests/node/peer_memory_test.cpp
@@ -27,7 +27,7 @@
       records[key] = value;
     }
   }
-  void put_together(const std::vector<Entry>&) override {}
+  void put_atomically(const std::vector<Entry>&) override {}
   Status scan(const std::string&, const std::string&,
               const std::function<bool(std::string_view, std::string_view)>&) const override {
     return Ok{};
@@ -79,12 +79,12 @@
 TEST_CASE("a node reads the peers that it stored at its next start") {
   refusing_disk disk;
   node_with_peers before;
-  before.memory.keep_in(disk);
+  before.memory.store_in(disk);
   before.hear(1);
   before.hear(2);
   before.environment.world.run_for(2s);
   node_with_peers after;
-  after.memory.keep_in(disk);
+  after.memory.store_in(disk);
   CHECK(after.members.remembered() == before.members.remembered());
   CHECK(after.members.remembered().size() == 2);
 }
@@ -92,7 +92,7 @@
 TEST_CASE("a change of members writes the list once, and changes in quick succession share a write") {
   refusing_disk disk;
   node_with_peers node;
-  node.memory.keep_in(disk);
+  node.memory.store_in(disk);
   node.environment.world.run_for(60s);
   CHECK(disk.puts == 0);
   for (unsigned peer = 1; peer <= 20; ++peer) {
@@ -108,19 +108,19 @@
 TEST_CASE("a disk that refuses reads at the start keeps its list, which is read when the disk is back") {
   refusing_disk disk;
   node_with_peers before;
-  before.memory.keep_in(disk);
+  before.memory.store_in(disk);
   before.hear(1);
   before.environment.world.run_for(2s);
   disk.refuses = true;
   disk.puts = 0;
   node_with_peers after;
-  after.memory.keep_in(disk);
+  after.memory.store_in(disk);
   after.hear(2);
   after.environment.world.run_for(60s);
   CHECK(disk.puts == 0);
   CHECK(after.counters["membership_peers_unread_total"] == 1);
   disk.refuses = false;
-  after.memory.keep_in(disk);
+  after.memory.store_in(disk);
   CHECK(after.members.remembered() == before.members.remembered());
   after.environment.world.run_for(2s);
   CHECK(after.members.remembered().size() == 2);
@@ -129,7 +129,7 @@
 TEST_CASE("a list that the disk refused is written when the disk accepts writes again") {
   refusing_disk disk;
   node_with_peers node;
-  node.memory.keep_in(disk);
+  node.memory.store_in(disk);
   disk.refuses = true;
   node.hear(1);
   node.environment.world.run_for(60s);
--- a/tests/object_store/departed_member_test.cpp
+++ b/tests/object_store/departed_member_test.cpp
@@ -512,7 +512,7 @@
 // Without that rule the order above leads to an epoch that names a drained disk.
 TEST_CASE("a disk that is drained despite an open consent is named by an epoch afterwards") {
   departure_site::shape shape;
-  shape.guards.replica.open_places_hold = false;
+  shape.guards.replica.open_consents_block_removal = false;
   departure_site site(shape);
   site.found();
   drain_spare_during_decision(site);
--- a/tests/object_store/retirement_test.cpp
+++ b/tests/object_store/retirement_test.cpp
@@ -79,31 +79,31 @@
   node.environment.world.run_for(20ms);
   node.store.tell("a", "");
   node.environment.world.run_for(800ms);
-  CHECK_FALSE(node.retirement->is_emptied(NodeId("a")).value_or(false));
+  CHECK_FALSE(node.retirement->is_drained(NodeId("a")).value_or(false));
   CHECK(node.counters["retirement_places_settled_total"] == 0);
   node.environment.world.run_for(1s);
   CHECK(node.counters["retirement_places_settled_total"] > 0);
   node.ledger.learn(0, {4, {kOther}, {}});
   node.environment.world.run_for(10s);
-  CHECK(node.retirement->is_emptied(NodeId("a")) == std::optional(true));
+  CHECK(node.retirement->is_drained(NodeId("a")) == std::optional(true));
 }
 
 TEST_CASE("a node with a disk knows which machines were drained as long as the store replies") {
   const NodeId other("b");
   fixture node;
-  CHECK_FALSE(node.retirement->is_emptied(other).has_value());
+  CHECK_FALSE(node.retirement->is_drained(other).has_value());
   node.store.tell("b", "{}");
-  CHECK(node.retirement->is_emptied(other) == std::optional(false));
+  CHECK(node.retirement->is_drained(other) == std::optional(false));
   node.store.answer(Error{ErrorKind::unavailable, "away"});
-  CHECK_FALSE(node.retirement->is_emptied(other).has_value());
+  CHECK_FALSE(node.retirement->is_drained(other).has_value());
   node.environment.world.run_for(1s);
   node.store.tell("b", object_store::kCompletedRetirement);
-  CHECK(node.retirement->is_emptied(other) == std::optional(true));
+  CHECK(node.retirement->is_drained(other) == std::optional(true));
   node.store.answer(Error{ErrorKind::unavailable, "away"});
-  CHECK(node.retirement->is_emptied(other) == std::optional(true));
+  CHECK(node.retirement->is_drained(other) == std::optional(true));
   node.environment.world.run_for(1s);
   node.store.tell("b", "", true);
-  CHECK(node.retirement->is_emptied(other) == std::optional(false));
+  CHECK(node.retirement->is_drained(other) == std::optional(false));
 }
 
 TEST_CASE("a node with a disk knows without the store that it is drained itself") {
@@ -113,9 +113,9 @@
   node.replica->restore();
   node.replica->adopt_group(0, {1, {own, other}, {}});
   node.store.tell("a", "{}");
-  CHECK(node.retirement->is_emptied(own.node) == std::optional(false));
+  CHECK(node.retirement->is_drained(own.node) == std::optional(false));
   node.replica->adopt_group(0, {2, {other}, {}});
   node.store.answer(Error{ErrorKind::unavailable, "away"});
   node.environment.world.run_for(1s);
-  CHECK(node.retirement->is_emptied(own.node) == std::optional(true));
+  CHECK(node.retirement->is_drained(own.node) == std::optional(true));
 }
--- a/tests/placement/coordinator_test.cpp
+++ b/tests/placement/coordinator_test.cpp
@@ -35,8 +35,8 @@
     registry.update(table, keys);
   }
   const wire::MemberT& self() const { return fleet.members.self(); }
-  forwarding::place_query query() const {
-    forwarding::place_query query;
+  forwarding::placement_query query() const {
+    forwarding::placement_query query;
     query.pool = kPool;
     return query;
   }
@@ -167,7 +167,7 @@
 
 TEST_CASE("a gateway asks its zone's coordinator and takes the answer") {
   gateway_fixture fixture;
-  std::optional<forwarding::place_answer> answer;
+  std::optional<forwarding::engine_assignment> answer;
   const wire::MemberT* coordinator = fixture.client.coordinator_for(kOwnDomain);
   REQUIRE(coordinator != nullptr);
   fixture.client.place(fixture.query(), [&](const auto& outcome) { answer = outcome.place; });
@@ -187,7 +187,7 @@
   gateway_fixture fixture;
   fixture.fleet.set_member_state(fixture.self().id, wire::MemberState::Alive);
   const engine_domain other{kPool, "z1"};  // this node is never its coordinator
-  forwarding::place_query query = fixture.query();
+  forwarding::placement_query query = fixture.query();
   query.first = BackendId("e1");
   query.affinity_key = "shared";
   const std::string first = fixture.client.coordinator_for(other)->id;
@@ -206,7 +206,7 @@
 
 TEST_CASE("a late answer is counted and changes nothing") {
   gateway_fixture fixture;
-  forwarding::place_query query = fixture.query();
+  forwarding::placement_query query = fixture.query();
   query.first = BackendId("e1");
   int answers = 0;
   fixture.client.place(query, [&answers](const auto&) { ++answers; });
@@ -337,7 +337,7 @@
   gateway_fixture fixture;
   call_reporter reporter(fixture.fleet.environment, fixture.fleet.counters, fixture.registry, fixture.client,
                          fixture.fleet.who, fixture.self(), fixture.own);
-  reporter.failed(BackendId("e2"), call_trouble::unreachable);
+  reporter.failed(BackendId("e2"), call_failure_kind::unreachable);
   REQUIRE(fixture.sent(wire::Message::EngineFailure) == 1);
   CHECK(fixture.fleet.environment.sent.back().to.str() == fixture.client.coordinator_for({kPool, "z2"})->peer_address);
   CHECK(fixture.fleet.environment.sent.back().body.AsEngineFailure()->unreachable);
@@ -383,7 +383,7 @@
     }
   }
   placement_choice ask(std::uint64_t request, Duration due, Duration patience = 4s, policy::call_rank rank = {}) {
-    forwarding::place_query asked = query();
+    forwarding::placement_query asked = query();
     asked.due = due;
     asked.patience = patience;
     asked.holding = 700ms;
@@ -484,11 +484,11 @@
     calls[id] = 0;
   }
   for (const BackendId& id : engines) {
-    fixture.registry.note_possible_start(id);
+    fixture.registry.note_possible_restart(id);
   }
   unsigned held = 0;
   for (std::uint64_t number = 1; number <= 60; ++number) {
-    forwarding::place_query query = fixture.query();
+    forwarding::placement_query query = fixture.query();
     query.patience = 20s;
     query.due = 20s;
     const placement_choice choice = holder.choose({"asker", number, {}}, kOwnDomain, query, true);
@@ -537,7 +537,7 @@
 TEST_CASE("a gateway asks again for a call that waits, and goes to the next coordinator when the first dies") {
   gateway_fixture fixture;
   fixture.fleet.set_member_state(fixture.self().id, wire::MemberState::Alive);
-  forwarding::place_query query = fixture.query();
+  forwarding::placement_query query = fixture.query();
   query.first = BackendId("e1");
   query.affinity_key = "shared";
   query.patience = 4s;
@@ -565,7 +565,7 @@
 
 TEST_CASE("a prompt's start stays at its engine while waiting there is less than reading it again") {
   gateway_fixture fixture;
-  forwarding::place_query query = fixture.query();
+  forwarding::placement_query query = fixture.query();
   query.affinity_key = "shared";
   query.reading = 150ms;
   query.holding = 700ms;
--- a/tests/platform/engine_client_test.cpp
+++ b/tests/platform/engine_client_test.cpp
@@ -71,7 +71,7 @@
 class Directory : public forwarding::BackendDirectory {
  public:
   std::string address_of(const BackendId&) const override { return address; }
-  bool takes_work(const BackendId&) const override { return open; }
+  bool accepts_work(const BackendId&) const override { return open; }
   bool is_leaving(const BackendId&) const override { return false; }
   std::size_t connection_share(const BackendId&) const override { return share; }
   void on_load(const BackendId&, const routing::LoadReport& report) override { load = report; }
--- a/tests/platform/ingress_test.cpp
+++ b/tests/platform/ingress_test.cpp
@@ -197,7 +197,7 @@
   const auto given_up = without.send("/a/1", kKnown);
   const auto left = without.send("/a/2", kKnown);
   left->leave();
-  without.environment.world.run_for(node::NodeCore::kConfigurationWait + 1ms);
+  without.environment.world.run_for(node::NodeCore::kConfigurationTimeout + 1ms);
   REQUIRE(given_up->answer);
   CHECK(given_up->answer->status == 503);
   CHECK_FALSE(net::find_header(given_up->answer->headers, "Retry-After").empty());
--- a/tests/policy/call_order_test.cpp
+++ b/tests/policy/call_order_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-call_outlook any_outlook() {
+waiting_call_state any_outlook() {
   return {{*rc::gen::inRange<std::uint32_t>(0, 3), *rc::gen::inRange<std::uint32_t>(0, 3)},
           std::chrono::milliseconds(*rc::gen::inRange(-3, 4)),
           std::chrono::milliseconds(*rc::gen::inRange(0, 4))};
@@ -18,9 +18,9 @@
 
 TEST_CASE("orders of waiting calls are strict weak orderings") {
   rc::prop("any three calls", [] {
-    const call_outlook a = any_outlook();
-    const call_outlook b = any_outlook();
-    const call_outlook c = any_outlook();
+    const waiting_call_state a = any_outlook();
+    const waiting_call_state b = any_outlook();
+    const waiting_call_state c = any_outlook();
     const arrival_call_order arrival;
     const attainable_call_order attainable;
     for (const call_order* order :
@@ -28,7 +28,7 @@
       RC_ASSERT(!order->before(a, a));
       RC_ASSERT(!(order->before(a, b) && order->before(b, a)));
       RC_ASSERT(!(order->before(a, b) && order->before(b, c)) || order->before(a, c));
-      const auto equal = [order](const call_outlook& x, const call_outlook& y) {
+      const auto equal = [order](const waiting_call_state& x, const waiting_call_state& y) {
         return !order->before(x, y) && !order->before(y, x);
       };
       RC_ASSERT(!(equal(a, b) && equal(b, c)) || equal(a, c));
@@ -38,7 +38,7 @@
 
 TEST_CASE("what can be in time goes before what cannot, then by tenant, route and time") {
   const attainable_call_order order;
-  const call_outlook soon{{1, 1}, 10ms, 0ms};
+  const waiting_call_state soon{{1, 1}, 10ms, 0ms};
   CHECK(order.before(soon, {{0, 0}, -1ms, 5s}));
   CHECK(order.before({{0, 9}, 200ms, 0ms}, soon));
   CHECK(order.before({{1, 0}, 200ms, 0ms}, soon));
--- a/tests/policy/work_estimate_test.cpp
+++ b/tests/policy/work_estimate_test.cpp
@@ -29,12 +29,12 @@
   estimate.learn("quotes", {1000, 200, 200, 4s});
   CHECK(estimate.time_left("quotes", 1000, 0) == 4s);
   for (int sample = 0; sample < 200; ++sample) {
-    estimate.learn_stretch("quotes", 8s, 4s);
+    estimate.update_wait_ratio("quotes", 8s, 4s);
   }
   CHECK(estimate.time_left("quotes", 1000, 0) > 7900ms);
   CHECK(estimate.time_left("quotes", 1000, 0) <= 8s);
   for (int sample = 0; sample < 200; ++sample) {
-    estimate.learn_stretch("quotes", 100s, 4s);
+    estimate.update_wait_ratio("quotes", 100s, 4s);
   }
   CHECK(estimate.time_left("quotes", 1000, 0) <= 12s);
 }
--- a/tests/quarantine/end_history_test.cpp
+++ b/tests/quarantine/end_history_test.cpp
@@ -13,7 +13,7 @@
 constexpr UnixMilliseconds kNow = 1'000'000'000;
 constexpr request_fingerprint kRequest{1, 2};
 
-backend_end end_of(unsigned backend, UnixMilliseconds at) {
+backend_termination end_of(unsigned backend, UnixMilliseconds at) {
   return {BackendId("engine-" + std::to_string(backend)), at};
 }
 
@@ -23,10 +23,10 @@
   end_history history;
   CHECK(history.record(kRequest, end_of(1, kNow), kNow));
   CHECK(history.record(kRequest, end_of(2, kNow + 10), kNow + 10));
-  CHECK_FALSE(history.holds_back(kRequest));
+  CHECK_FALSE(history.is_quarantined(kRequest));
   CHECK(history.record(kRequest, end_of(3, kNow + 20), kNow + 20));
-  CHECK(history.holds_back(kRequest));
-  CHECK_FALSE(history.holds_back({1, 3}));
+  CHECK(history.is_quarantined(kRequest));
+  CHECK_FALSE(history.is_quarantined({1, 3}));
 }
 
 TEST_CASE("one end that several nodes saw, or that is told twice, counts once") {
@@ -74,7 +74,7 @@
     history.record(kRequest, end_of(backend, kNow + backend), kNow + 10);
   }
   CHECK(history.clear_ends_until(kRequest, kNow + 20));
-  CHECK_FALSE(history.holds_back(kRequest));
+  CHECK_FALSE(history.is_quarantined(kRequest));
   CHECK_FALSE(history.record(kRequest, end_of(4, kNow + 15), kNow + 30));  // reported late
   CHECK(history.record(kRequest, end_of(5, kNow + 25), kNow + 30));
   CHECK(history.ends(kRequest) == 1);
@@ -91,17 +91,17 @@
     history.record(kBeside, end_of(backend, kNow + backend + 2), kNow + 10);  // time reported by another node
   }
   // It is not known yet which of the two is fatal.
-  CHECK_FALSE(history.holds_back(kFatal));
-  CHECK_FALSE(history.holds_back(kBeside));
+  CHECK_FALSE(history.is_quarantined(kFatal));
+  CHECK_FALSE(history.is_quarantined(kBeside));
   SECTION("the one that ends a fourth back end alone") {
     history.record(kFatal, end_of(4, kNow + 100), kNow + 100);
-    CHECK(history.holds_back(kFatal));
-    CHECK_FALSE(history.holds_back(kBeside));
+    CHECK(history.is_quarantined(kFatal));
+    CHECK_FALSE(history.is_quarantined(kBeside));
   }
   SECTION("the other one's good run") {
     history.clear_ends_until(kBeside, kNow + 100);
-    CHECK(history.holds_back(kFatal));
-    CHECK_FALSE(history.holds_back(kBeside));
+    CHECK(history.is_quarantined(kFatal));
+    CHECK_FALSE(history.is_quarantined(kBeside));
   }
   SECTION("two fatal ones that met once are both held back with a fourth") {
     end_history both;
@@ -109,19 +109,19 @@
       both.record(kFatal, end_of(backend, kNow), kNow);
       both.record(kBeside, end_of(backend + 2, kNow), kNow);
     }
-    CHECK_FALSE(both.holds_back(kFatal));
+    CHECK_FALSE(both.is_quarantined(kFatal));
     both.record(kFatal, end_of(8, kNow), kNow);
     both.record(kBeside, end_of(9, kNow), kNow);
-    CHECK(both.holds_back(kFatal));
-    CHECK(both.holds_back(kBeside));
+    CHECK(both.is_quarantined(kFatal));
+    CHECK(both.is_quarantined(kBeside));
   }
   SECTION("whoever else was there, five are enough") {
     for (unsigned backend = 4; backend <= 5; ++backend) {
       history.record(kFatal, end_of(backend, kNow), kNow);
       history.record(kBeside, end_of(backend, kNow), kNow);
     }
-    CHECK(history.holds_back(kFatal));
-    CHECK(history.holds_back(kBeside));
+    CHECK(history.is_quarantined(kFatal));
+    CHECK(history.is_quarantined(kBeside));
   }
 }
 
@@ -146,36 +146,36 @@
   record(kOne, {{3, 43}, {2, 107}, {1, 5'116}, {2, 5'260}});
   record(kOther, {{1, 357}, {0, 394}, {3, 634}, {3, 5'978}});
   record(kBeside, {{2, 107}, {1, 357}, {0, 627}, {2, 5'260}});
-  backend_end after_long_answer = end_of(3, kNow + 5'978);
+  backend_termination after_long_answer = end_of(3, kNow + 5'978);
   after_long_answer.advanced = true;
   history.record(kBeside, after_long_answer, kNow + 9'000);
   REQUIRE(history.ends(kBeside) == end_history::kMaxEnds);
-  CHECK(history.holds_back(kOne));
-  CHECK(history.holds_back(kOther));
-  CHECK_FALSE(history.holds_back(kBeside));
+  CHECK(history.is_quarantined(kOne));
+  CHECK(history.is_quarantined(kOther));
+  CHECK_FALSE(history.is_quarantined(kBeside));
 }
 
 TEST_CASE("ends of runs that had been answered for a while count as accidents, up to five") {
   end_history history;
   for (unsigned backend = 1; backend <= 4; ++backend) {
-    backend_end late = end_of(backend, kNow);
+    backend_termination late = end_of(backend, kNow);
     late.advanced = true;
     history.record(kRequest, late, kNow);
   }
-  CHECK_FALSE(history.holds_back(kRequest));
+  CHECK_FALSE(history.is_quarantined(kRequest));
   SECTION("two early ones beside them make no three") {
     end_history mixed;
     for (unsigned backend = 1; backend <= 4; ++backend) {
       mixed.record(kRequest, {BackendId(std::to_string(backend)), kNow, backend > 2}, kNow);
     }
-    CHECK_FALSE(mixed.holds_back(kRequest));
+    CHECK_FALSE(mixed.is_quarantined(kRequest));
     // A second copy of the request had just begun on the third back end.
     CHECK(mixed.record(kRequest, {BackendId("3"), kNow, false}, kNow));
-    CHECK(mixed.holds_back(kRequest));
+    CHECK(mixed.is_quarantined(kRequest));
   }
   SECTION("the fifth") {
     history.record(kRequest, {BackendId("engine-5"), kNow, true}, kNow);
-    CHECK(history.holds_back(kRequest));
+    CHECK(history.is_quarantined(kRequest));
   }
 }
 
@@ -185,10 +185,10 @@
     history.record(kRequest, end_of(backend, kNow), kNow);
   }
   history.forget_old(kNow + end_history::kRetentionMs);
-  CHECK(history.holds_back(kRequest));
+  CHECK(history.is_quarantined(kRequest));
   history.note_held_back(kRequest, kNow + end_history::kRetentionMs);
   history.forget_old(kNow + 2 * end_history::kRetentionMs);
-  CHECK(history.holds_back(kRequest));
+  CHECK(history.is_quarantined(kRequest));
   history.forget_old(kNow + 2 * end_history::kRetentionMs + 1);
   CHECK(history.empty());
   CHECK_FALSE(history.record(kRequest, end_of(1, kNow),
@@ -204,7 +204,7 @@
     history.record({other, other}, end_of(1, kNow + other), kNow + other);
     history.record({other, other}, end_of(2, kNow + other), kNow + other);
   }
-  CHECK(history.holds_back(kRequest));
+  CHECK(history.is_quarantined(kRequest));
   CHECK(history.size() == end_history::kMaxRequests);
 }
 
@@ -232,7 +232,7 @@
       exchange(right, left);
     }
     for (std::uint64_t request = 0; request < 4; ++request) {
-      RC_ASSERT(left.holds_back({request, 0}) == right.holds_back({request, 0}));
+      RC_ASSERT(left.is_quarantined({request, 0}) == right.is_quarantined({request, 0}));
     }
     RC_ASSERT(left.digest() == right.digest());
   });
--- a/tests/quarantine/request_quarantine_test.cpp
+++ b/tests/quarantine/request_quarantine_test.cpp
@@ -41,7 +41,7 @@
   unsigned holding_back() const {
     unsigned count = 0;
     for (const auto& one : nodes) {
-      count += one->quarantine.history().holds_back(request) ? 1 : 0;
+      count += one->quarantine.history().is_quarantined(request) ? 1 : 0;
     }
     return count;
   }
@@ -227,7 +227,7 @@
   for (unsigned minute = 0; minute < 20; ++minute) {
     fixture.run_for(1min);
     for (unsigned number = 0; number < 4; ++number) {
-      CHECK(fixture.nodes[number]->quarantine.holds_back(fixture.request, "again"));
+      CHECK(fixture.nodes[number]->quarantine.is_quarantined(fixture.request, "again"));
     }
   }
   fixture.add_node_cut_off();
@@ -308,17 +308,17 @@
   process.start();
   simulation::SimStorage disk(world, process);
   spread_fixture fixture(3);
-  fixture.nodes[0]->quarantine.keep_in(disk);
+  fixture.nodes[0]->quarantine.store_in(disk);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(1, "engine-" + std::to_string(end));
   }
   fixture.run_for(1s);
   spread_fixture restarted(3);
-  restarted.nodes[0]->quarantine.keep_in(disk);
+  restarted.nodes[0]->quarantine.store_in(disk);
   CHECK(restarted.holding_back() == 1);
   disk.put("q/suspected", {1, 2, 3});
   spread_fixture damaged(3);
-  damaged.nodes[0]->quarantine.keep_in(disk);
+  damaged.nodes[0]->quarantine.store_in(disk);
   CHECK(damaged.holding_back() == 0);
   CHECK(damaged.nodes[0]->counters["quarantine_stored_unreadable_total"] == 1);
 }
@@ -342,15 +342,15 @@
       fixture.run_for(150ms);
     }
   }
-  CHECK(observer.undecided_for(beside) == request_quarantine::kUndecidedTime);
+  CHECK(observer.undecided_wait(beside) == request_quarantine::kUndecidedTime);
   fixture.run_for(20ms);
   fixture.ends(0, "engine-2");
   fixture.ends(0, "engine-3");  // the second attempt of that call
   fixture.run_for(request_quarantine::kUndecidedTime + 10ms);
-  CHECK(observer.undecided_for(beside) == Duration::zero());
-  CHECK_FALSE(observer.holds_back(beside, "innocent"));
+  CHECK(observer.undecided_wait(beside) == Duration::zero());
+  CHECK_FALSE(observer.is_quarantined(beside, "innocent"));
   CHECK(fixture.nodes[1]->counters["quarantine_begun_total"] == 1);  // only the fatal one
-  CHECK(observer.holds_back(fixture.request, "fatal"));
+  CHECK(observer.is_quarantined(fixture.request, "fatal"));
 }
 
 // A fatal request and a harmless one run on the same three engines, so it is not known which one crashed them. Guards
@@ -367,18 +367,18 @@
     observer.call_broke({beside, "innocent", BackendId(backend)}, [](bool) {});
   }
   fixture.run_for(request_quarantine::kUndecidedTime + 50ms);
-  CHECK(observer.undecided_for(fixture.request) > Duration::zero());
-  CHECK(observer.undecided_for(beside) > Duration::zero());
+  CHECK(observer.undecided_wait(fixture.request) > Duration::zero());
+  CHECK(observer.undecided_wait(beside) > Duration::zero());
   SECTION("one of them completes successfully") {
     observer.call_answered(beside);
-    CHECK(observer.undecided_for(fixture.request) == Duration::zero());
-    CHECK(observer.holds_back(fixture.request, "fatal"));
-    CHECK_FALSE(observer.holds_back(beside, "innocent"));
+    CHECK(observer.undecided_wait(fixture.request) == Duration::zero());
+    CHECK(observer.is_quarantined(fixture.request, "fatal"));
+    CHECK_FALSE(observer.is_quarantined(beside, "innocent"));
   }
   SECTION("no further report arrives") {
     fixture.run_for(request_quarantine::kUndecidedTimeIfAmbiguous);
-    CHECK(observer.undecided_for(beside) == Duration::zero());
-    CHECK_FALSE(observer.holds_back(beside, "innocent"));
+    CHECK(observer.undecided_wait(beside) == Duration::zero());
+    CHECK_FALSE(observer.is_quarantined(beside, "innocent"));
   }
 }
 
@@ -390,7 +390,7 @@
   process.start();
   simulation::SimStorage disk(world, process);
   spread_fixture fixture(3);
-  fixture.nodes[0]->quarantine.keep_in(disk);
+  fixture.nodes[0]->quarantine.store_in(disk);
   fixture.run_for(2'010ms);
   for (unsigned end = 0; end < 3; ++end) {
     fixture.ends(1, "engine-" + std::to_string(end));
@@ -399,7 +399,7 @@
   world.run_for(60ms);
   disk.crash();
   spread_fixture restarted(3);
-  restarted.nodes[0]->quarantine.keep_in(disk);
+  restarted.nodes[0]->quarantine.store_in(disk);
   CHECK(restarted.holding_back() == 1);
 }
 
--- a/tests/routing/live_router_test.cpp
+++ b/tests/routing/live_router_test.cpp
@@ -114,11 +114,11 @@
 /// Suspects every request; the test decides whether an engine terminated.
 class suspicious_guard : public repeat_guard {
  public:
-  bool remembers_any() const override { return true; }
+  bool has_records() const override { return true; }
   bool suspects(const request_fingerprint&) const override { return true; }
-  bool holds_back(const request_fingerprint&, const std::string&) override { return held; }
-  bool allows_retrial(const request_fingerprint&) const override { return false; }
-  bool beyond_doubt(const request_fingerprint&) const override { return false; }
+  bool is_quarantined(const request_fingerprint&, const std::string&) override { return held; }
+  bool allows_isolated_retry(const request_fingerprint&) const override { return false; }
+  bool is_confirmed_fatal(const request_fingerprint&) const override { return false; }
   void call_broke(const broken_call&, decided done) override { verdicts.push_back(std::move(done)); }
   void call_answered(const request_fingerprint&) override {}
 
@@ -132,7 +132,7 @@
     "a generation that waits to learn whether its engine terminated holds no slot there, even when it times out") {
   RouterFixture fixture;
   suspicious_guard guard;
-  fixture.router.use_repeat_guard(guard);
+  fixture.router.set_repeat_guard(guard);
   fixture.start();
   routing::Backend* engine = fixture.registry.find(fixture.backends.engine_calls.at(0).engine);
   fixture.backends.engine_calls.at(0).events.failed(CallFailure::broken);
@@ -150,7 +150,7 @@
   RouterFixture fixture;
   suspicious_guard guard;
   guard.held = true;
-  fixture.router.use_repeat_guard(guard);
+  fixture.router.set_repeat_guard(guard);
   fixture.start();
   CHECK(fixture.backends.engine_calls.empty());
   REQUIRE(fixture.refusal);
--- a/tests/routing/registry_test.cpp
+++ b/tests/routing/registry_test.cpp
@@ -152,9 +152,9 @@
   // Three gateways each filled all slots of an engine, and the tail latency was ten times that of round robin.
   RegistryFixture fixture(6);
   fixture.registry.set_gateways(3);
-  CHECK(fixture.registry.sharing("m") == Approx(3));
+  CHECK(fixture.registry.gateways_per_engine("m") == Approx(3));
   fixture.registry.set_subset_size(2);
-  CHECK(fixture.registry.sharing("m") == Approx(1));
+  CHECK(fixture.registry.gateways_per_engine("m") == Approx(1));
   Backend& backend = *fixture.registry.candidates("m").front();
   backend.added_at = Timestamp{};
   backend.online_in_flight = 1;
@@ -217,13 +217,13 @@
   fixture.registry.on_failure(id, CallFailure::not_sent);
   list(1'000);
   CHECK(fixture.registry.find(id)->online_in_flight == 3);
-  CHECK(fixture.registry.find(id)->said_leaving);
+  CHECK(fixture.registry.find(id)->reported_leaving);
   list(2'000);
   backend = fixture.registry.find(id);
   CHECK(backend->life != first_life);
   CHECK(backend->online_in_flight == 0);
   CHECK(backend->open_calls == 0);
-  CHECK_FALSE(backend->said_leaving);
+  CHECK_FALSE(backend->reported_leaving);
   CHECK(backend->ejected_until.count() == 0);
   CHECK(backend->latency_ms == 0);
 
@@ -237,7 +237,7 @@
   late.started_unix_ms = 1'000;
   fixture.registry.on_report(id, late, fixture.environment.now());
   CHECK(fixture.registry.find(id)->report.running_online == 0);
-  CHECK_FALSE(fixture.registry.find(id)->said_leaving);
+  CHECK_FALSE(fixture.registry.find(id)->reported_leaving);
   const std::string draining = R"({"pool":"m","slots":4,"state":"leaving","started_ms":1000})";
   fixture.change({{{"machine", RegistryFixture::name(1)}, draining, fixture.table.revision() + 1, false}});
   CHECK_FALSE(fixture.registry.find(id)->machine.leaving);
--- a/tests/routing/shared_calls_test.cpp
+++ b/tests/routing/shared_calls_test.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE("calls of several nodes add up, and a later word replaces an earlier one") {
   shared_calls calls;
-  CHECK_FALSE(calls.any_heard());
+  CHECK_FALSE(calls.has_reports());
   calls.take(call_report("a", false, 2, 1), 1s);
   calls.take(call_report("b", false, 3, 0), 1s);
   CHECK(calls.at(kEngine) == open_calls{5, 1, 2});
@@ -47,10 +47,10 @@
   shared_calls calls;
   calls.take(call_report("a", false, 2, 1), 1s);
   calls.take(call_report("b", false, 3, 0), 3s);
-  calls.forget_silent(4500ms);
+  calls.forget_unresponsive_nodes(4500ms);
   CHECK(calls.at(kEngine) == open_calls{3, 0, 1});
-  calls.forget_silent(10s);
-  CHECK_FALSE(calls.any_heard());
+  calls.forget_unresponsive_nodes(10s);
+  CHECK_FALSE(calls.has_reports());
   CHECK(calls.at(kEngine) == open_calls{});
 }
 
@@ -95,9 +95,9 @@
 TEST_CASE("a call that a node was to make and that nobody hears of again is forgotten") {
   shared_calls calls;
   calls.expect("a", kEngine, 1s);
-  calls.forget_silent(3900ms);
+  calls.forget_unresponsive_nodes(3900ms);
   CHECK(calls.at(kEngine) == open_calls{1, 0, 1});
-  calls.forget_silent(4100ms);
+  calls.forget_unresponsive_nodes(4100ms);
   CHECK(calls.at(kEngine) == open_calls{});
 }
 
@@ -129,13 +129,13 @@
   calls.expect("b", kEngine, 1s);
   calls.take(call_report("b", false, 1, 0), 1s + 10ms);
   CHECK(calls.at(kEngine).live == 2);
-  calls.forget_unfulfilled(1s + 149ms);
+  calls.forget_unreported_calls(1s + 149ms);
   CHECK(calls.at(kEngine).live == 2);
-  calls.forget_unfulfilled(1s + 150ms);
+  calls.forget_unreported_calls(1s + 150ms);
   CHECK(calls.at(kEngine) == open_calls{1, 0, 1});
   calls.expect("a", kEngine, 2s);
   calls.take(call_report("a", true, 1, 0, BackendId("e2")), 2s + 10ms);
-  calls.forget_unfulfilled(3s);
+  calls.forget_unreported_calls(3s);
   CHECK(calls.at(kEngine).live == 1);
   CHECK(calls.at(BackendId("e2")).live == 1);
 }
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -56,17 +56,17 @@
     World world(seed);
     SimFleet fleet(world, oracle, *find_profile("qasr"), node::Guards());
     world.run_for(10s);
-    REQUIRE(fleet.core(1).holds_its_records());
+    REQUIRE(fleet.core(1).replica_is_current());
     fleet.lose_disk(1);
     unsigned too_early = 0;
     for (unsigned look = 0; look < 15'000 && !fleet.nodes[1]->disk_whole; ++look) {
       world.run_for(1ms);
       fleet.observe_disk(1);
-      too_early += fleet.core(1).holds_its_records() && !fleet.nodes[1]->disk_whole ? 1 : 0;
+      too_early += fleet.core(1).replica_is_current() && !fleet.nodes[1]->disk_whole ? 1 : 0;
     }
     CHECK(too_early == 0);
     CHECK(fleet.nodes[1]->disk_whole);
-    CHECK(fleet.core(1).holds_its_records());
+    CHECK(fleet.core(1).replica_is_current());
   }
 }
 
--- a/tests/tenancy/rate_limiter_test.cpp
+++ b/tests/tenancy/rate_limiter_test.cpp
@@ -28,7 +28,7 @@
   int refused = 0;
   Duration retry_after{};
 
-  void admit(const stated_rate& rate) {
+  void admit(const configured_rate& rate) {
     limiter.admit("r", rate, [this](const rate_decision& decision) {
       (decision.let_in ? let_in : refused) += 1;
       retry_after = decision.retry_after;
@@ -54,7 +54,7 @@
   }
 };
 
-stated_rate rate(const std::string& tenant, double per_second = 20, double burst = 0) {
+configured_rate rate(const std::string& tenant, double per_second = 20, double burst = 0) {
   return {tenant, 1, {per_second, burst}};
 }
 
