--- a/tests/node/connection_share_test.cpp
+++ b/tests/node/connection_share_test.cpp
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-// See "a call beyond this node's share of connections is none that the engine failed".
+// See "a call beyond this node's share of connections does not count as a failure of the engine".
 TEST_CASE(
     "an engine's dispatcher gets connections for all slots of the engine, and all nodes together stay within the "
     "engine's limit") {
