--- a/src/quarantine/end_history.cpp
+++ b/src/quarantine/end_history.cpp
@@ -142,7 +142,7 @@
 }
 
 /// Adds requests that have kMaxEnds terminations, early or not, of which at least kEndsToHoldBack are not explained by
-/// a fatal request. An example are two requests that always ran together.
+/// a fatal request. An example is two requests that always ran together.
 void end_history::add_with_max_ends(std::set<request_fingerprint>& fatal) const {
   std::set<request_fingerprint> more;
   for (const auto& [request, known] : requests_) {
